--- a/crates/proxy/src/boxes/choose.rs
+++ b/crates/proxy/src/boxes/choose.rs
@@ -3,7 +3,7 @@
 
 use super::connection::Connection;
 use super::node::Node;
-use super::{Begun, Boxes, Job, News};
+use super::{Boxes, NewConnection, NodeEvent, QueuedAttempt};
 use addresses::Id;
 use calicosaddle::api::{Nanos, ServerId, Status};
 use pipeline::{Ask, Command, Known, Place, Seen};
@@ -11,7 +11,12 @@
 impl Boxes {
     /// Sends an attempt: it will be written at the end of this step of the loop, or when its connection is up.
     /// Returns the connection, and what it is if it is new; nothing if the attempt ended at once.
-    pub fn send(&mut self, server: ServerId, job: Job, now: Nanos) -> Option<(usize, Option<Begun>)> {
+    pub fn send(
+        &mut self,
+        server: ServerId,
+        job: QueuedAttempt,
+        now: Nanos,
+    ) -> Option<(usize, Option<NewConnection>)> {
         if !self.nodes.contains_key(&server) {
             self.end(job, Status::Moot);
             return None;
@@ -26,7 +31,7 @@
     }
 
     /// Puts an attempt on a connection.
-    fn put(&mut self, key: usize, job: Job, now: Nanos) {
+    fn put(&mut self, key: usize, job: QueuedAttempt, now: Nanos) {
         let c = &mut self.all[key];
         c.pipe.push(job);
         if c.up && !std::mem::replace(&mut c.dirty, true) {
@@ -45,14 +50,19 @@
     ///
     /// Danger: a write that may have arrived over one address of a node would be another one over the next, should
     /// the node know repeats by where they come in. It goes over the same address or not at all.
-    fn only(&self, node: &Node, job: &Job) -> Option<Id> {
+    fn only(&self, node: &Node, job: &QueuedAttempt) -> Option<Id> {
         let gone = job.query.gone_over.borrow();
         let gone = gone.iter().find(|(s, _)| *s == node.entry.server).map(|(_, over)| *over);
         gone.filter(|_| !self.across && node.book.len() > 1)
     }
 
     /// The connection for an attempt, opened if need be.
-    fn place(&mut self, server: ServerId, job: &Job, now: Nanos) -> Option<(usize, Option<Begun>)> {
+    fn place(
+        &mut self,
+        server: ServerId,
+        job: &QueuedAttempt,
+        now: Nanos,
+    ) -> Option<(usize, Option<NewConnection>)> {
         let node = self.nodes.get(&server)?;
         // One that passes on a long value is held by its client's pace and carries nothing else meanwhile.
         let passing = |k: &&usize| self.all.get(**k).is_some_and(|c| c.passing);
@@ -75,7 +85,14 @@
         Known { of_box: node.times(), of_all: &self.times }
     }
 
-    fn choose(&self, node: &Node, job: &Job, only: Option<Id>, room: bool, now: Nanos) -> Place<usize> {
+    fn choose(
+        &self,
+        node: &Node,
+        job: &QueuedAttempt,
+        only: Option<Id>,
+        room: bool,
+        now: Nanos,
+    ) -> Place<usize> {
         let lane = job.lane();
         let seen = node.connections.iter().filter_map(|key| {
             let c = self.all.get(*key).filter(|c| c.takes(self.fresh, now))?;
@@ -92,11 +109,16 @@
                 same_lane: c.pipe.is_of(lane),
             })
         });
-        pipeline::place(&Ask { lane, aim: job.aim, room }, seen, self.known(node), &self.pipes, now)
+        pipeline::place(&Ask { lane, aim: job.target, room }, seen, self.known(node), &self.pipes, now)
     }
 
     /// Finds other connections for attempts of which no byte was written.
-    pub(super) fn displace(&mut self, server: ServerId, jobs: impl IntoIterator<Item = Job>, now: Nanos) {
+    pub(super) fn displace(
+        &mut self,
+        server: ServerId,
+        jobs: impl IntoIterator<Item = QueuedAttempt>,
+        now: Nanos,
+    ) {
         for job in jobs {
             let (id, attempt) = job.tag();
             if let Some((key, new)) = self.send(server, job, now) {
@@ -105,11 +127,11 @@
         }
     }
 
-    fn moved(&mut self, server: ServerId, id: u64, attempt: u32, key: usize, new: Option<Begun>) {
+    fn moved(&mut self, server: ServerId, id: u64, attempt: u32, key: usize, new: Option<NewConnection>) {
         if let Some(node) = self.nodes.get_mut(&server) {
             node.counts.moved += 1;
         }
-        self.news.push_back(News::Moved(id, attempt, key, new));
+        self.news.push_back(NodeEvent::Reassigned(id, attempt, key, new));
     }
 
     /// A connection has nothing to do any more: it takes what waits longest for one that is not up yet.
@@ -120,7 +142,7 @@
         let waits = |k: &&usize| self.all.get(**k).is_some_and(|c| !c.up && c.pipe.waits());
         let slow = node.connections.iter().filter(waits).min_by_key(|k| self.all[**k].link.begun);
         let Some(slow) = slow.copied() else { return };
-        let fits = |job: &Job| node.fits(c, self.only(node, job));
+        let fits = |job: &QueuedAttempt| node.fits(c, self.only(node, job));
         if !self.all[slow].pipe.next_up().is_some_and(fits) {
             return;
         }
--- a/crates/proxy/src/boxes/connection.rs
+++ b/crates/proxy/src/boxes/connection.rs
@@ -13,7 +13,7 @@
 
 /// One attempt, as it waits to be written.
 #[derive(Debug)]
-pub struct Job {
+pub struct QueuedAttempt {
     /// The request.
     pub id: RequestId,
     /// Which of its attempts.
@@ -21,12 +21,12 @@
     /// What the client sent.
     pub query: Rc<Query>,
     /// When its answer should be there.
-    pub aim: Nanos,
+    pub target: Nanos,
     /// When the proxy stops waiting.
-    pub until: Nanos,
+    pub deadline: Nanos,
 }
 
-impl pipeline::Command for Job {
+impl pipeline::Command for QueuedAttempt {
     type Tag = (RequestId, u32);
 
     fn tag(&self) -> Self::Tag {
@@ -53,7 +53,7 @@
     /// It has come up.
     pub up: bool,
     /// The attempts on it.
-    pub pipe: Pipe<Job>,
+    pub pipe: Pipe<QueuedAttempt>,
     /// The commands being written, all but a long value at their end.
     pub out: Vec<u8>,
     /// That value stays where it is.
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -17,7 +17,7 @@
 use addresses::{Address, Id, Race};
 use calicosaddle::api::{Nanos, RequestId, ServerId, State, Status};
 use connection::Connection;
-pub use connection::Job;
+pub use connection::QueuedAttempt;
 use control::message::{BoxStatus, Pipelines, DEPTHS};
 use mio::{Registry, Token};
 use node::{word, Node};
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// The key and what is wrong with it.
-pub fn hello(told: &operator::Boxes) -> Result<Option<Vec<u8>>, String> {
+pub fn hello_command(told: &operator::Boxes) -> Result<Option<Vec<u8>>, String> {
     let mut words = vec![Frame::text("HELLO"), Frame::text("3")];
     if let (Some(user), Some(path)) = (&told.user, &told.password_file) {
         let fault = |what: String| format!("boxes.password_file: {}: {what}", path.display());
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 /// A line for each key that goes past these: the key, its value and the bound.
-pub fn pipes(told: &operator::Pipeline, config: &Config) -> Result<Limits, String> {
+pub fn pipeline_limits(told: &operator::Pipeline, config: &Config) -> Result<Limits, String> {
     let most = config.streams;
     let over = |(key, depth): &(&str, Option<usize>)| {
         let depth = depth.filter(|d| *d > most)?;
@@ -126,42 +126,42 @@
 
 /// What became of attempts.
 #[derive(Debug)]
-pub enum News {
+pub enum NodeEvent {
     /// It ended without a reply that could be passed on.
     Ended(RequestId, u32, Status, Reply),
     /// A whole reply that serves it, the bytes that came with it, and what it took; that is not told where it had to wait
     /// behind another reply.
     Served(RequestId, u32, Reply, Vec<u8>, Option<Nanos>),
     /// A long value begins, on this connection: what it is and its length.
-    Begun(RequestId, u32, usize, Shape, usize),
+    ValueStarted(RequestId, u32, usize, Shape, usize),
     /// Some bytes of it, ...
-    Passed(RequestId, Vec<u8>),
+    ValueBytes(RequestId, Vec<u8>),
     /// ... its end, and all else that its reply tells; ...
-    Done(RequestId, Reply),
+    ValueComplete(RequestId, Reply),
     /// ... or it ended before.
-    Cut(RequestId),
+    ValueTruncated(RequestId),
     /// It goes by another connection than it was to; that is new if it says so.
-    Moved(RequestId, u32, usize, Option<Begun>),
+    Reassigned(RequestId, u32, usize, Option<NewConnection>),
     /// A node told something that nobody asked for.
     Push(ServerId, Vec<Frame>),
 }
 
 /// An attempt that is waited for no longer.
 #[derive(Clone, Copy, Debug)]
-pub struct GivenUp {
+pub struct AbandonedAttempt {
     /// When it was sent.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// Its time was up; else it was called off.
-    pub late: bool,
+    pub timed_out: bool,
 }
 
 /// A connection that was begun.
 #[derive(Clone, Copy, Debug)]
-pub struct Begun {
+pub struct NewConnection {
     /// Its number among all that there ever were.
     pub serial: u64,
     /// If it is not up after so long, another address may be tried beside.
-    pub stagger: Option<Nanos>,
+    pub stagger_delay: Option<Nanos>,
 }
 
 /// The cache nodes and all connections to them.
@@ -199,7 +199,7 @@
     fresh: Nanos,
     rests: Rests,
     swept: Nanos,
-    news: VecDeque<News>,
+    news: VecDeque<NodeEvent>,
     again: Vec<usize>,
 }
 
@@ -245,9 +245,9 @@
     /// Can a configuration be taken over?
     ///
     /// # Errors
-    /// As [`pipes`] tells them.
-    pub fn check(&self, config: &Config) -> Result<(), String> {
-        pipes(&self.told, config).map(|_| ())
+    /// As [`pipeline_limits`] tells them.
+    pub fn check_config(&self, config: &Config) -> Result<(), String> {
+        pipeline_limits(&self.told, config).map(|_| ())
     }
 
     /// Takes over what a configuration says of connections.
@@ -256,7 +256,7 @@
         self.per_node = share.clamp(1, MOST_CONNECTIONS);
         // What can't hold with it has been refused before. What was learned of rests is kept.
         let learned = self.pipes.rest;
-        self.pipes = pipes(&self.told, config).unwrap_or(self.pipes);
+        self.pipes = pipeline_limits(&self.told, config).unwrap_or(self.pipes);
         self.pipes.rest = self.pipes.rest.keeping(learned);
         self.stated = (config.idle as f64 * IDLE_PART) as Nanos;
         self.fresh = self.rests.fresh(self.stated);
@@ -279,7 +279,7 @@
     }
 
     /// These nodes, and no others, are drained by operators.
-    pub fn withdraw(&mut self, servers: &[ServerId], now: Nanos) {
+    pub fn set_drained(&mut self, servers: &[ServerId], now: Nanos) {
         self.withdrawn = servers.iter().copied().collect();
         for (server, node) in &mut self.nodes {
             node.withdrawn = self.withdrawn.contains(server);
@@ -293,7 +293,7 @@
     }
 
     /// Attempts written whole since the start.
-    pub fn written(&self) -> u64 {
+    pub fn attempts_written(&self) -> u64 {
         self.written
     }
 
@@ -306,7 +306,7 @@
     }
 
     /// The first nodes by name after this one, or only those that are leaving; and whether there are more.
-    pub fn page(
+    pub fn status_page(
         &self,
         after: &str,
         limit: usize,
@@ -380,29 +380,29 @@
     }
 
     /// All connections, as pipelines.
-    pub fn pipelines(&self, now: Nanos) -> Pipelines {
+    pub fn pipeline_stats(&self, now: Nanos) -> Pipelines {
         let mut all = self.past.clone();
         self.nodes.values().for_each(|node| all.add(&self.pipelines_of(node, now)));
         all
     }
 
     /// The next thing that became of an attempt.
-    pub fn news(&mut self) -> Option<News> {
+    pub fn next_event(&mut self) -> Option<NodeEvent> {
         self.news.pop_front()
     }
 
     /// True if some connection may have more input without saying so again.
-    pub fn has_more(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         !self.again.is_empty()
     }
 
     /// Connections to read on with.
-    pub fn take_again(&mut self) -> Vec<usize> {
+    pub fn take_unread(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.again)
     }
 
     /// Takes what discovery told.
-    pub fn list(&mut self, list: &List, now: Nanos) {
+    pub fn apply_list(&mut self, list: &List, now: Nanos) {
         if list.whole {
             let named: FxHashSet<ServerId> = list.hosts.iter().map(|h| h.entry.server).collect();
             let left: Vec<ServerId> = self.nodes.keys().copied().filter(|id| !named.contains(id)).collect();
@@ -463,9 +463,9 @@
         &mut self,
         server: ServerId,
         only: Option<Id>,
-        job: &Job,
+        job: &QueuedAttempt,
         now: Nanos,
-    ) -> (Option<usize>, Option<Begun>) {
+    ) -> (Option<usize>, Option<NewConnection>) {
         if self.descriptors() >= self.limit && !self.evict() {
             return (None, None);
         }
@@ -479,7 +479,7 @@
         let key = entry.key();
         let token = Source::Box(key).token();
         let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
-        let left = job.until.saturating_sub(now);
+        let left = job.deadline.saturating_sub(now);
         let stagger = race.more().then(|| node.book.delay(link.over, left));
         self.serial += 1;
         node.connections.push(key);
@@ -509,11 +509,11 @@
             paused: false,
             used: false,
         });
-        (Some(key), Some(Begun { serial: self.serial, stagger }))
+        (Some(key), Some(NewConnection { serial: self.serial, stagger_delay: stagger }))
     }
 
     /// Tries the next address beside the one that is not up, if descriptors allow it.
-    pub fn stagger(&mut self, key: usize, serial: u64, now: Nanos) {
+    pub fn start_staggered(&mut self, key: usize, serial: u64, now: Nanos) {
         if self.all.get(key).is_some_and(|c| c.serial == serial) {
             self.begin_rival(key, now);
         }
@@ -579,7 +579,7 @@
     }
 
     /// The second address of a connection has news; true if it won, and the connection is up.
-    pub fn rival_ready(&mut self, key: usize, now: Nanos) -> bool {
+    pub fn staggered_ready(&mut self, key: usize, now: Nanos) -> bool {
         let Some(c) = self.all.get_mut(key).filter(|c| !c.up) else { return false };
         let Some(rival) = &c.rival else { return false };
         match rival.socket.is_up() {
@@ -611,13 +611,20 @@
         true
     }
 
-    fn end(&mut self, job: Job, status: Status) {
-        self.news.push_back(News::Ended(job.id, job.attempt, status, Reply::default()));
+    fn end(&mut self, job: QueuedAttempt, status: Status) {
+        self.news.push_back(NodeEvent::Ended(job.id, job.attempt, status, Reply::default()));
     }
 
     /// Stops waiting for an attempt; `false` if it is not on this connection. Closing a connection calls off
     /// all attempts on it, so it is closed only if nobody waits for another one.
-    pub fn cancel(&mut self, key: usize, id: RequestId, attempt: u32, given_up: GivenUp, now: Nanos) -> bool {
+    pub fn cancel(
+        &mut self,
+        key: usize,
+        id: RequestId,
+        attempt: u32,
+        given_up: AbandonedAttempt,
+        now: Nanos,
+    ) -> bool {
         let Some(c) = self.all.get_mut(key) else { return false };
         let (server, over) = (c.node, c.link.over);
         let first = c.pipe.head() == Some(Some((id, attempt)));
@@ -646,9 +653,9 @@
     }
 
     /// Notes that a request was given up over an address; what rests on it is closed if it is silent.
-    fn unheard(&mut self, server: ServerId, over: Id, given_up: GivenUp, now: Nanos) {
+    fn unheard(&mut self, server: ServerId, over: Id, given_up: AbandonedAttempt, now: Nanos) {
         let Some(node) = self.nodes.get_mut(&server) else { return };
-        if node.book.silent(over, given_up.sent, !given_up.late, now) {
+        if node.book.silent(over, given_up.sent_at, !given_up.timed_out, now) {
             self.close_resting(server, |c| c.link.over == over);
         }
     }
@@ -725,9 +732,9 @@
             broke = true;
             uncertain += u64::from(fate == Fate::Uncertain);
             self.news.push_back(match fate {
-                _ if passing == Some(tag) => News::Cut(tag.0),
-                Fate::Uncertain => News::Ended(tag.0, tag.1, status, Reply::default()),
-                Fate::Unwritten => News::Ended(tag.0, tag.1, Status::ConnectFailed, Reply::default()),
+                _ if passing == Some(tag) => NodeEvent::ValueTruncated(tag.0),
+                Fate::Uncertain => NodeEvent::Ended(tag.0, tag.1, status, Reply::default()),
+                Fate::Unwritten => NodeEvent::Ended(tag.0, tag.1, Status::ConnectFailed, Reply::default()),
             });
         }
         if let Some(node) = self.nodes.get_mut(&c.node) {
@@ -856,7 +863,7 @@
             let (reply, value) = match item {
                 Some(Item::Reply(reply, value)) => (reply, value),
                 Some(Item::Push(told)) => {
-                    self.news.push_back(News::Push(c.node, told));
+                    self.news.push_back(NodeEvent::Push(c.node, told));
                     continue;
                 }
                 Some(Item::Part(_)) | None => continue,
@@ -881,13 +888,13 @@
             }
             let Some((id, attempt)) = answered.tag else { continue };
             self.news.push_back(match reply.kind {
-                _ if passed => News::Done(id, reply),
+                _ if passed => NodeEvent::ValueComplete(id, reply),
                 Kind::Served => {
                     let took = (!answered.behind).then_some(answered.took);
-                    News::Served(id, attempt, reply, bytes, took)
+                    NodeEvent::Served(id, attempt, reply, bytes, took)
                 }
-                Kind::Busy => News::Ended(id, attempt, Status::Full, reply),
-                Kind::Failed => News::Ended(id, attempt, Status::Error, reply),
+                Kind::Busy => NodeEvent::Ended(id, attempt, Status::Full, reply),
+                Kind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
             });
         }
         // Only attempts that are over are left: closing spares the node their work.
@@ -921,10 +928,10 @@
         if let Some((id, attempt)) = c.pipe.head().flatten() {
             if let Some((shape, length)) = part.head {
                 c.passing = true;
-                self.news.push_back(News::Begun(id, attempt, key, shape, length));
+                self.news.push_back(NodeEvent::ValueStarted(id, attempt, key, shape, length));
             }
             if c.passing && !part.bytes.is_empty() {
-                self.news.push_back(News::Passed(id, part.bytes));
+                self.news.push_back(NodeEvent::ValueBytes(id, part.bytes));
             }
         }
         part.tail
@@ -937,7 +944,7 @@
     }
 
     /// Reads nothing more of a connection for now, or goes on.
-    pub fn pause(&mut self, key: usize, id: RequestId, paused: bool, now: Nanos) {
+    pub fn set_paused(&mut self, key: usize, id: RequestId, paused: bool, now: Nanos) {
         let Some(c) = self.passing(key, id) else { return };
         if std::mem::replace(&mut c.paused, paused) && !paused {
             c.heard = now;
@@ -946,7 +953,7 @@
     }
 
     /// Gives up a long value that nobody waits for any more.
-    pub fn stop_passing(&mut self, key: usize, id: RequestId) {
+    pub fn stop_streaming(&mut self, key: usize, id: RequestId) {
         if self.passing(key, id).is_some() {
             self.close(key);
         }
@@ -997,15 +1004,15 @@
     fn before(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
         let mut boxes = made(&sample(), poll);
         let hosts = vec![host(Entry { server: 7, ..Entry::default() }, listener)];
-        boxes.list(&List { version: 1, whole: true, hosts }, 0);
+        boxes.apply_list(&List { version: 1, whole: true, hosts }, 0);
         boxes
     }
 
     /// A whole answer of a node.
     const ANSWER: &[u8] = b"*3\r\n$1\r\nx\r\n$-1\r\n$-1\r\n";
 
-    fn job(config: &Config) -> Job {
-        Job { id: 1, attempt: 0, query: query(config), aim: 9_000 * MS, until: 9_000 * MS }
+    fn job(config: &Config) -> QueuedAttempt {
+        QueuedAttempt { id: 1, attempt: 0, query: query(config), target: 9_000 * MS, deadline: 9_000 * MS }
     }
 
     #[test]
@@ -1027,11 +1034,11 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         // The loop has not heard of them, and the connection goes all the same; the attempt goes by another.
-        assert!(boxes.write(0));
-        let news = boxes.news();
+        assert!(boxes.write_due(0));
+        let news = boxes.next_event();
         assert!(
-            matches!(news, Some(News::Moved(1, 0, _, Some(Begun { serial: 2, .. }))))
-                && boxes.news().is_none(),
+            matches!(news, Some(NodeEvent::Reassigned(1, 0, _, Some(NewConnection { serial: 2, .. }))))
+                && boxes.next_event().is_none(),
             "{news:?}"
         );
         assert_eq!((boxes.all.len(), boxes.written, boxes.nodes[&7].counts.moved), (1, 0, 1));
@@ -1053,25 +1060,28 @@
                 boxes.ready(key, false, &mut [0; 64], MS);
             }
             node.write_all(ANSWER).expect("written");
-            while !matches!(boxes.news(), Some(News::Served(1, 0, ..))) {
+            while !matches!(boxes.next_event(), Some(NodeEvent::Served(1, 0, ..))) {
                 waits();
                 boxes.ready(key, false, &mut [0; 64], 2 * MS);
             }
-            let again = Job { attempt: 1, ..job(&sample()) };
+            let again = QueuedAttempt { attempt: 1, ..job(&sample()) };
             assert!(matches!(boxes.send(7, again, 3 * MS), Some((same, None)) if same == key));
-            assert_eq!((boxes.due(), boxes.write(6 * MS), boxes.written), (Some(7 * MS), false, 1));
+            assert_eq!(
+                (boxes.next_write_at(), boxes.write_due(6 * MS), boxes.written),
+                (Some(7 * MS), false, 1)
+            );
             if surplus {
                 node.write_all(ANSWER).expect("written");
                 while boxes.nodes[&7].counts.surplus == 0 {
                     waits();
                     boxes.ready(key, false, &mut [0; 64], 6 * MS);
                 }
-                let moved = boxes.news();
-                assert!(matches!(moved, Some(News::Moved(1, 1, _, Some(_)))), "{moved:?}");
+                let moved = boxes.next_event();
+                assert!(matches!(moved, Some(NodeEvent::Reassigned(1, 1, _, Some(_)))), "{moved:?}");
                 assert_eq!((boxes.written, boxes.nodes[&7].counts.breaks), (1, 0));
             } else {
-                assert!(boxes.write(7 * MS) && boxes.all[key].pipe.is_written((1, 1)));
-                assert_eq!((boxes.due(), boxes.written), (None, 2));
+                assert!(boxes.write_due(7 * MS) && boxes.all[key].pipe.is_written((1, 1)));
+                assert_eq!((boxes.next_write_at(), boxes.written), (None, 2));
             }
         }
     }
@@ -1088,19 +1098,21 @@
             assert!(begun.elapsed() < Duration::from_secs(20), "nothing is written");
             boxes.ready(up, false, &mut [0; 64], MS);
         }
-        let (slow, new) = boxes.send(7, Job { attempt: 1, ..job(&sample()) }, MS).expect("another");
+        let (slow, new) = boxes.send(7, QueuedAttempt { attempt: 1, ..job(&sample()) }, MS).expect("another");
         assert!(new.is_some() && slow != up);
         node.write_all(ANSWER).expect("written");
         while boxes.all[up].depth() > 0 && begun.elapsed() < Duration::from_secs(20) {
             boxes.ready(up, false, &mut [0; 64], 2 * MS);
-            if matches!(boxes.news(), Some(News::Served(1, 0, ..))) {
+            if matches!(boxes.next_event(), Some(NodeEvent::Served(1, 0, ..))) {
                 break;
             }
         }
-        assert!(matches!(boxes.news(), Some(News::Moved(1, 1, key, None)) if key == up));
+        assert!(matches!(boxes.next_event(), Some(NodeEvent::Reassigned(1, 1, key, None)) if key == up));
         // The connection rests after its answer, which came at 2 ms.
-        assert!(!boxes.write(2 * MS));
-        assert!(boxes.write(7 * MS) && boxes.all[up].pipe.is_written((1, 1)) && boxes.all[slow].depth() == 0);
+        assert!(!boxes.write_due(2 * MS));
+        assert!(
+            boxes.write_due(7 * MS) && boxes.all[up].pipe.is_written((1, 1)) && boxes.all[slow].depth() == 0
+        );
     }
 
     #[test]
@@ -1111,19 +1123,19 @@
         (boxes.per_node, boxes.pipes) = (1, Limits::default());
         assert!(boxes.send(7, job(&sample()), 0).is_some());
         for attempt in 1..4 {
-            assert!(boxes.send(7, Job { attempt, ..job(&sample()) }, 0).is_none());
-            let told = boxes.news();
+            assert!(boxes.send(7, QueuedAttempt { attempt, ..job(&sample()) }, 0).is_none());
+            let told = boxes.next_event();
             assert!(
-                matches!(told, Some(News::Ended(1, n, Status::Moot, _)) if n == attempt),
+                matches!(told, Some(NodeEvent::Ended(1, n, Status::Moot, _)) if n == attempt),
                 "{attempt}: {told:?}"
             );
         }
         // Where nothing holds, and no descriptor is left to dial with, the node was not reached.
         (boxes.per_node, boxes.limit) = (2, 0);
         boxes.close(0);
-        while boxes.news().is_some() {}
+        while boxes.next_event().is_some() {}
         assert!(boxes.send(7, job(&sample()), 0).is_none());
-        assert!(matches!(boxes.news(), Some(News::Ended(1, 0, Status::ConnectFailed, _))));
+        assert!(matches!(boxes.next_event(), Some(NodeEvent::Ended(1, 0, Status::ConnectFailed, _))));
     }
 
     #[test]
@@ -1134,17 +1146,17 @@
         let mut boxes = made(&sample(), &poll);
         let mut host = host(Entry { server: 7, ..Entry::default() }, &listener);
         host.dials.insert(0, Address::Tcp(at));
-        boxes.list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
+        boxes.apply_list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
         let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, job(&sample()), 0)).collect();
         assert_eq!((keys.len(), boxes.rivals), (4, 0));
         for (key, begun) in &keys {
-            boxes.stagger(*key, begun.expect("new").serial, 300 * MS);
+            boxes.start_staggered(*key, begun.expect("new").serial, 300 * MS);
         }
         assert_eq!((boxes.rivals, boxes.descriptors()), (1, 5));
         // Each that comes up over the second address lets the next begin, and the first address is passed over.
         for (i, (key, _)) in keys.iter().enumerate() {
             let begun = Instant::now();
-            while !boxes.rival_ready(*key, 310 * MS) {
+            while !boxes.staggered_ready(*key, 310 * MS) {
                 assert!(begun.elapsed() < Duration::from_secs(20), "the race of {i} does not end");
                 std::thread::sleep(Duration::from_millis(1));
             }
@@ -1164,10 +1176,10 @@
             let (key, _) = boxes.send(7, job(&config), 0).expect("it waits");
             listener.accept().expect("accepted");
             if withdrawn {
-                boxes.withdraw(&[7], 0);
+                boxes.set_drained(&[7], 0);
             }
             boxes.ready(key, false, &mut [0; 64], MS);
-            let ended = matches!(boxes.news(), Some(News::Ended(1, 0, Status::Moot, _)));
+            let ended = matches!(boxes.next_event(), Some(NodeEvent::Ended(1, 0, Status::Moot, _)));
             assert_eq!((ended, boxes.nodes[&7].sent), (withdrawn, u64::from(!withdrawn)));
         }
     }
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -1,13 +1,13 @@
 //! Writing to cache nodes: all that waits on a connection leaves in one go, each attempt checked when its turn comes.
 
-use super::{Boxes, News, KEPT, MS};
+use super::{Boxes, NodeEvent, KEPT, MS};
 use calicosaddle::api::{Nanos, Status};
 use resp::{Greeting, Reply};
 use std::io::{self, IoSlice, Write};
 
 impl Boxes {
     /// When something is to be written: what the operator has wait for more, or what waits for the end of a rest.
-    pub fn due(&self) -> Option<Nanos> {
+    pub fn next_write_at(&self) -> Option<Nanos> {
         self.batch_due().into_iter().chain(self.resting.first().map(|(at, _)| *at)).min()
     }
 
@@ -21,8 +21,8 @@
     /// whatever the loop has heard of it so far, since what is there would pass for the next answer. It should catch
     /// ends that are not yet known as well. It costs a system call for each batch. In RESP3 the bytes may be a push:
     /// they are read first, and a connection that has more of them than that is left alone until the loop has.
-    pub fn write(&mut self, now: Nanos) -> bool {
-        if self.due().is_none_or(|at| now < at) {
+    pub fn write_due(&mut self, now: Nanos) -> bool {
+        if self.next_write_at().is_none_or(|at| now < at) {
             return false;
         }
         if self.batch_due().is_some_and(|at| at <= now) {
@@ -129,9 +129,9 @@
             let ready = node.as_ref().is_some_and(|n| n.takes());
             let listed = node.as_ref().is_some_and(|n| n.book.address(c.link.over).is_some());
             // Danger: while it waited, its node may have begun to drain or moved, and its time may have gone by.
-            if !ready || !listed || job.until <= now {
+            if !ready || !listed || job.deadline <= now {
                 let status = if ready { Status::ConnectFailed } else { Status::Moot };
-                self.news.push_back(News::Ended(job.id, job.attempt, status, Reply::default()));
+                self.news.push_back(NodeEvent::Ended(job.id, job.attempt, status, Reply::default()));
                 continue;
             }
             if !c.pipe.midway() {
@@ -144,7 +144,7 @@
                 c.out.extend(self.hello.iter().flatten());
                 c.greeting = Some(Greeting::default());
             }
-            job.query.encode(((job.until - now) / MS).max(1), &mut c.out);
+            job.query.encode(((job.deadline - now) / MS).max(1), &mut c.out);
             let long = pipeline::Command::lane(&job).long;
             if job.query.write && !long {
                 c.out.extend_from_slice(job.query.value());
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -82,7 +82,7 @@
                     return Err(Error::new(Code::BadRequest, message));
                 }
                 let zones = &self.config.names.zones;
-                let (boxes, more) = self.boxes.page(&after, limit, false, zones, self.turn.now);
+                let (boxes, more) = self.boxes.status_page(&after, limit, false, zones, self.turn.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
             Op::List => return Ok(Answer::Known(Known { known: self.known() })),
@@ -143,7 +143,7 @@
     /// Puts in force what operators said of boxes: for the module's choices, and for what waits to be written.
     pub(crate) fn withdraw(&mut self) {
         let servers: Vec<ServerId> = self.kept.state.boxes.iter().map(|name| server_id(name)).collect();
-        self.boxes.withdraw(&servers, self.turn.now);
+        self.boxes.set_drained(&servers, self.turn.now);
         self.events.push_back(Event::Withdrawn(servers));
     }
 
@@ -180,7 +180,7 @@
     fn reconfigure(&mut self, generation: u64, text: &str, dry_run: bool) -> Result<Reconfigured, Error> {
         let mut new =
             Config::parse(text, |_| None).map_err(|e| Error::new(Code::BadConfig, e.to_string()))?;
-        self.boxes.check(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
+        self.boxes.check_config(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
         let (changes, needs_restart) = self.config.changes(&new);
         let same = changes.is_empty() && needs_restart.is_empty();
         let next = follows("generation", self.config.generation, generation, same)?;
@@ -233,7 +233,7 @@
 
     fn figures(&self) -> String {
         let now = Now {
-            backend_calls: self.boxes.written(),
+            backend_calls: self.boxes.attempts_written(),
             inflight: self.requests.unanswered() + self.passing.len(),
             hosts_listed: self.boxes.counts().0,
             hosts_down: self.brain.avoided(self.turn.now),
@@ -267,8 +267,8 @@
             clients: self.clients.count(),
             connections,
             counters,
-            pipelines: self.boxes.pipelines(self.turn.now),
-            leaving: self.boxes.page("", MAX_PAGE, true, &self.config.names.zones, self.turn.now).0,
+            pipelines: self.boxes.pipeline_stats(self.turn.now),
+            leaving: self.boxes.status_page("", MAX_PAGE, true, &self.config.names.zones, self.turn.now).0,
         }
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -114,8 +114,8 @@
         let places = Places::new(config.sockets, reserved);
         let memory = ((config.memory_mb << 20) / MEMORY_PART) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
-        let hello = boxes::hello(&operator.boxes)?;
-        boxes::pipes(&operator.pipeline, &config)?;
+        let hello = boxes::hello_command(&operator.boxes)?;
+        boxes::pipeline_limits(&operator.pipeline, &config)?;
         let shadow = operator.shadow.as_ref().map(|s| copies::settings(s, &config)).transpose()?;
         let kept = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
@@ -183,9 +183,9 @@
     /// The key of the operator's file that can't hold with this configuration, and why.
     pub fn check(config: &Config, operator: &operator::Operator) -> Result<(), String> {
         front::users(&operator.clients, &config.tenants)?;
-        boxes::hello(&operator.boxes)?;
+        boxes::hello_command(&operator.boxes)?;
         operator.shadow.as_ref().map(|s| copies::settings(s, config)).transpose()?;
-        boxes::pipes(&operator.pipeline, config).map(|_| ())
+        boxes::pipeline_limits(&operator.pipeline, config).map(|_| ())
     }
 
     /// Has what cache nodes push told to `subscriber` as well.
@@ -198,8 +198,9 @@
         let mut events = Events::with_capacity(1024);
         while !self.done() {
             let calls = self.admin.as_ref().is_some_and(Admin::has_more);
-            let more = self.clients.has_more() || self.boxes.has_more() || calls;
-            let work = self.control.as_ref().and_then(Endpoint::work).into_iter().chain(self.boxes.due());
+            let more = self.clients.has_more() || self.boxes.has_unread_input() || calls;
+            let work =
+                self.control.as_ref().and_then(Endpoint::work).into_iter().chain(self.boxes.next_write_at());
             let work = work.chain([self.discovery.due()]).min();
             if self.turn.wait(&mut events, work, more)? {
                 self.turn(&events);
@@ -213,7 +214,7 @@
     /// read again for each socket.
     fn turn(&mut self, events: &Events) {
         let closed = |event: &Woken| event.is_read_closed() || event.is_error();
-        for key in self.boxes.take_again() {
+        for key in self.boxes.take_unread() {
             self.boxes.ready(key, true, &mut self.buffer, self.turn.now);
             self.settle();
         }
@@ -224,7 +225,7 @@
                 _ => continue,
             };
             self.turn.tick();
-            if !rival || self.boxes.rival_ready(key, self.turn.now) {
+            if !rival || self.boxes.staggered_ready(key, self.turn.now) {
                 self.boxes.ready(key, closed(event), &mut self.buffer, self.turn.now);
             }
             self.settle();
@@ -294,7 +295,7 @@
 
     /// Writes to cache nodes what became ready since: all that one connection has in one go.
     fn write(&mut self) {
-        while self.boxes.write(self.turn.now) {
+        while self.boxes.write_due(self.turn.now) {
             self.settle();
         }
     }
@@ -310,7 +311,7 @@
     /// Works off all that sockets told and that follows from it.
     fn settle(&mut self) {
         loop {
-            if let Some(news) = self.boxes.news() {
+            if let Some(news) = self.boxes.next_event() {
                 self.attempt_news(news);
             } else if let Some(news) = self.clients.news() {
                 self.client_news(news);
@@ -341,7 +342,7 @@
     }
 
     fn take_list(&mut self, news: discovery::News) -> Vec<Entry> {
-        self.boxes.list(&news, self.turn.now);
+        self.boxes.apply_list(&news, self.turn.now);
         self.look_for_candidates();
         self.observers.tell(Told::List);
         self.changes += 1;
@@ -381,7 +382,7 @@
                 Due::Deadline(id) => self.deadline(id),
                 Due::Attempt(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
                 Due::Connect(key, serial) => self.boxes.connect_timeout(key, serial, self.turn.now),
-                Due::Stagger(key, serial) => self.boxes.stagger(key, serial, self.turn.now),
+                Due::Stagger(key, serial) => self.boxes.start_staggered(key, serial, self.turn.now),
                 Due::Accept => self.clients.knocked(),
                 Due::Copy(number) => self.copies.iter_mut().for_each(|c| c.overdue(number, self.turn.now)),
                 Due::Sweep => {
--- a/crates/proxy/src/life.rs
+++ b/crates/proxy/src/life.rs
@@ -1,7 +1,7 @@
 //! The life of a request, in the order in which it is lived: it arrives, passes the gates, is decided on, sent,
 //! has an outcome, is decided on again, answered, observed, and retired.
 
-use crate::boxes::{self, GivenUp, Job};
+use crate::boxes::{self, AbandonedAttempt, QueuedAttempt};
 use crate::front::clients;
 use crate::path::{Final, Told, Verdict};
 use crate::request::{Answer, Place, Query};
@@ -120,19 +120,19 @@
         let promised = self.config.settings.classes.get(begun.query.class as usize).map_or(0, |c| c.aim);
         let aim = begun.until.saturating_sub(begun.query.wait) + promised;
         let aim = if promised == 0 { until } else { aim.min(until) };
-        let job = Job { id, attempt, query: begun.query, aim, until };
+        let job = QueuedAttempt { id, attempt, query: begun.query, target: aim, deadline: until };
         if let Some((key, new)) = self.boxes.send(server, job, now) {
             self.carried(id, attempt, key, new);
         }
     }
 
     /// A connection has an attempt; it may be new.
-    fn carried(&mut self, id: RequestId, attempt: u32, key: usize, new: Option<boxes::Begun>) {
+    fn carried(&mut self, id: RequestId, attempt: u32, key: usize, new: Option<boxes::NewConnection>) {
         let now = self.turn.now;
         if let Some(new) = new {
             let wait = self.config.settings.connect_timeout.max(MS);
             self.turn.timers.set(now + wait, Due::Connect(key, new.serial));
-            if let Some(delay) = new.stagger {
+            if let Some(delay) = new.stagger_delay {
                 self.turn.timers.set(now + delay, Due::Stagger(key, new.serial));
             }
         }
@@ -143,7 +143,7 @@
     pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, mut status: Status) {
         let Some(a) = self.requests.attempt(id, attempt) else { return };
         if let Some(key) = a.connection {
-            let given_up = GivenUp { sent: a.sent, late: status == Status::Timeout };
+            let given_up = AbandonedAttempt { sent_at: a.sent, timed_out: status == Status::Timeout };
             if status == Status::Timeout && !self.boxes.is_written(key, id, attempt) {
                 status = Status::ConnectFailed;
             }
@@ -171,10 +171,10 @@
 
     // ---- outcomes ----
 
-    pub(crate) fn attempt_news(&mut self, news: boxes::News) {
+    pub(crate) fn attempt_news(&mut self, news: boxes::NodeEvent) {
         match news {
-            boxes::News::Ended(id, attempt, status, reply) => self.ended(id, attempt, status, &reply),
-            boxes::News::Served(id, attempt, reply, bytes, took) => {
+            boxes::NodeEvent::Ended(id, attempt, status, reply) => self.ended(id, attempt, status, &reply),
+            boxes::NodeEvent::Served(id, attempt, reply, bytes, took) => {
                 let asked = self.copied(id);
                 self.answer(id, Answer::Served(&reply, &bytes), Final::Served);
                 self.ended(id, attempt, Status::Ok, &reply);
@@ -182,7 +182,7 @@
                     self.served(&query, &reply, &bytes, took);
                 }
             }
-            boxes::News::Begun(id, attempt, key, shape, length) => {
+            boxes::NodeEvent::ValueStarted(id, attempt, key, shape, length) => {
                 // Danger: it may have been called off since, and something else sent in its place.
                 if self.requests.attempt(id, attempt).is_some() {
                     let asked = self.copied(id);
@@ -193,11 +193,11 @@
                 }
                 self.ended(id, attempt, Status::Ok, &resp::Reply::default());
             }
-            boxes::News::Passed(id, bytes) => self.passed(id, &bytes),
-            boxes::News::Done(id, reply) => self.passed_whole(id, &reply),
-            boxes::News::Cut(id) => self.cut(id),
-            boxes::News::Moved(id, attempt, key, new) => self.carried(id, attempt, key, new),
-            boxes::News::Push(server, told) => self.observers.tell(Told::Push(server, &told)),
+            boxes::NodeEvent::ValueBytes(id, bytes) => self.passed(id, &bytes),
+            boxes::NodeEvent::ValueComplete(id, reply) => self.passed_whole(id, &reply),
+            boxes::NodeEvent::ValueTruncated(id) => self.cut(id),
+            boxes::NodeEvent::Reassigned(id, attempt, key, new) => self.carried(id, attempt, key, new),
+            boxes::NodeEvent::Push(server, told) => self.observers.tell(Told::Push(server, &told)),
         }
     }
 
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/passing.rs
@@ -45,14 +45,14 @@
     pub(crate) fn passed(&mut self, id: RequestId, bytes: &[u8]) {
         let Some(value) = self.passing.0.get(&id) else { return };
         if !self.clients.pass(value.place, bytes) {
-            self.boxes.pause(value.from, id, true, self.turn.now);
+            self.boxes.set_paused(value.from, id, true, self.turn.now);
         }
     }
 
     /// Its client has room for more.
     pub(crate) fn wanted(&mut self, id: RequestId) {
         if let Some(value) = self.passing.0.get(&id) {
-            self.boxes.pause(value.from, id, false, self.turn.now);
+            self.boxes.set_paused(value.from, id, false, self.turn.now);
         }
     }
 
@@ -74,6 +74,6 @@
     pub(crate) fn no_longer_wanted(&mut self, id: RequestId) {
         let Some(value) = self.passing.0.remove(&id) else { return };
         self.observers.tell(Told::Abandoned);
-        self.boxes.stop_passing(value.from, id);
+        self.boxes.stop_streaming(value.from, id);
     }
 }
