--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -2,7 +2,7 @@
 
 use calicosaddle::api::{Action, Entry, Event, ListKind, Nanos, ServerId};
 use calicosaddle::Brain;
-use freshness::Stream;
+use freshness::Subscription;
 use rustc_hash::FxHashMap;
 use std::io::{self, BufRead, Write};
 use wire::Line;
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct Adapter {
     now: Nanos,
-    instances: FxHashMap<String, (Brain, Stream)>,
+    instances: FxHashMap<String, (Brain, Subscription)>,
     names: FxHashMap<ServerId, String>,
     pages: Vec<Vec<Entry>>,
     filling: Option<(usize, usize)>,
@@ -48,7 +48,7 @@
             }
             Line::Entry(..) => return Err("entry without a list".into()),
             Line::New { instance, seed, settings } => {
-                let stream = Stream::new(&settings, seed);
+                let stream = Subscription::new(&settings, seed);
                 self.instances.insert(instance, (Brain::new(*settings, seed), stream));
             }
             Line::Members { instance, kind, page } => {
--- a/crates/addresses/src/lib.rs
+++ b/crates/addresses/src/lib.rs
@@ -6,11 +6,11 @@
 //! and then says nothing is a bad one, too. What is learned comes from requests that are sent anyway. No I/O and no
 //! clock: times are nanoseconds on any one clock, chance comes from a seed.
 
-mod book;
 mod race;
+mod table;
 
-pub use book::{Book, Id, FORGET};
-pub use race::{Race, RACING};
+pub use race::{ConnectionRace, MAX_CONCURRENT_ATTEMPTS};
+pub use table::{AddressId, AddressTable, REMOVED_RETENTION};
 
 use std::collections::HashSet;
 use std::fmt;
@@ -24,9 +24,9 @@
 /// Addresses that a box may have; more are dropped.
 pub const MAX_ADDRESSES: usize = 8;
 /// The longest text of an address.
-pub const MAX_TEXT: usize = 256;
+pub const MAX_ADDRESS_BYTES: usize = 256;
 /// The longest path of a Unix-domain socket: `sun_path` has 108 bytes, the last of them zero (unix(7)).
-pub const MAX_PATH: usize = 107;
+pub const MAX_UNIX_PATH_BYTES: usize = 107;
 
 /// Where a box listens.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -50,46 +50,54 @@
 
 /// Why a text is no address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NoAddress {
-    /// It is longer than [`MAX_TEXT`].
-    Long(usize),
-    /// The path is not absolute, has a zero byte, or is longer than [`MAX_PATH`].
-    Path(String),
+pub enum ParseAddressError {
+    /// It is longer than [`MAX_ADDRESS_BYTES`].
+    TooLong(usize),
+    /// The path is not absolute, has a zero byte, or is longer than [`MAX_UNIX_PATH_BYTES`].
+    InvalidPath(String),
     /// It is neither an IP address with a port nor `unix:` and a path. Names are not looked up.
-    Form(String),
+    InvalidFormat(String),
     /// Nobody can be connected to there: port 0, or an address of no host.
-    Nowhere(SocketAddr),
+    NotConnectable(SocketAddr),
 }
 
-impl fmt::Display for NoAddress {
+impl fmt::Display for ParseAddressError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoAddress::Long(length) => write!(f, "an address of {length} bytes; {MAX_TEXT} are the most"),
-            NoAddress::Path(path) => {
-                write!(f, "{path:?} is no absolute path of at most {MAX_PATH} bytes")
+            ParseAddressError::TooLong(length) => {
+                write!(f, "an address of {length} bytes; {MAX_ADDRESS_BYTES} are the most")
             }
-            NoAddress::Form(text) => write!(f, "{text:?} is neither ADDRESS:PORT nor unix:/PATH"),
-            NoAddress::Nowhere(address) => write!(f, "nobody can be reached at {address}"),
+            ParseAddressError::InvalidPath(path) => {
+                write!(f, "{path:?} is no absolute path of at most {MAX_UNIX_PATH_BYTES} bytes")
+            }
+            ParseAddressError::InvalidFormat(text) => {
+                write!(f, "{text:?} is neither ADDRESS:PORT nor unix:/PATH")
+            }
+            ParseAddressError::NotConnectable(address) => write!(f, "nobody can be reached at {address}"),
         }
     }
 }
 
-impl std::error::Error for NoAddress {}
+impl std::error::Error for ParseAddressError {}
 
 impl FromStr for Address {
-    type Err = NoAddress;
+    type Err = ParseAddressError;
 
-    fn from_str(text: &str) -> Result<Self, NoAddress> {
-        if text.len() > MAX_TEXT {
-            return Err(NoAddress::Long(text.len()));
+    fn from_str(text: &str) -> Result<Self, ParseAddressError> {
+        if text.len() > MAX_ADDRESS_BYTES {
+            return Err(ParseAddressError::TooLong(text.len()));
         }
         if let Some(path) = text.strip_prefix("unix:") {
-            let good = path.starts_with('/') && path.len() <= MAX_PATH && !path.contains('\0');
-            return if good { Ok(Address::Unix(path.into())) } else { Err(NoAddress::Path(path.into())) };
+            let good = path.starts_with('/') && path.len() <= MAX_UNIX_PATH_BYTES && !path.contains('\0');
+            return if good {
+                Ok(Address::Unix(path.into()))
+            } else {
+                Err(ParseAddressError::InvalidPath(path.into()))
+            };
         }
-        let address: SocketAddr = text.parse().map_err(|_| NoAddress::Form(text.into()))?;
+        let address: SocketAddr = text.parse().map_err(|_| ParseAddressError::InvalidFormat(text.into()))?;
         if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
-            return Err(NoAddress::Nowhere(address));
+            return Err(ParseAddressError::NotConnectable(address));
         }
         Ok(Address::Tcp(address))
     }
@@ -117,7 +125,7 @@
 }
 
 /// Reads a list of addresses in its order; what can't be used is dropped, and named.
-pub fn read<'a>(texts: impl IntoIterator<Item = &'a str>) -> (Vec<Address>, Vec<String>) {
+pub fn parse_list<'a>(texts: impl IntoIterator<Item = &'a str>) -> (Vec<Address>, Vec<String>) {
     let (mut all, mut faults, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
     let mut more = 0;
     for text in texts {
--- a/crates/addresses/src/book.rs
+++ b/crates/addresses/src/table.rs
@@ -19,7 +19,7 @@
 /// So many in a row that waited for as long as answers take say the same.
 const ROW: u32 = 3;
 /// What is known of an address that left the list is kept for so long: lists flap, too.
-pub const FORGET: Nanos = 120_000 * MS;
+pub const REMOVED_RETENTION: Nanos = 120_000 * MS;
 /// The delay before the next address is tried beside one that is not up: RFC 8305's, while nothing was measured, ...
 const UNKNOWN: Nanos = 250 * MS;
 /// ... and its bounds.
@@ -27,11 +27,11 @@
 
 /// An address of a book, for as long as the book stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Id(u32);
+pub struct AddressId(u32);
 
 #[derive(Clone, Debug)]
 struct Known {
-    id: Id,
+    id: AddressId,
     address: Address,
     /// Handshakes took so long, smoothed, and differed by so much.
     handshake: Option<(Nanos, Nanos)>,
@@ -52,7 +52,7 @@
 
 /// The addresses of one box.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct AddressTable {
     known: Vec<Known>,
     next: u32,
     /// The family that answered last.
@@ -62,15 +62,21 @@
     rng: fastrand::Rng,
 }
 
-impl Book {
+impl AddressTable {
     /// No addresses yet.
     pub fn new(seed: u64) -> Self {
-        Book { known: Vec::new(), next: 0, family: None, usual: None, rng: fastrand::Rng::with_seed(seed) }
+        AddressTable {
+            known: Vec::new(),
+            next: 0,
+            family: None,
+            usual: None,
+            rng: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// Takes over a list, in its order. What was learned of an address stays, also while it is gone for a moment.
     /// Tells whether anything changed but the order.
-    pub fn take(&mut self, list: &[Address], now: Nanos) -> bool {
+    pub fn update(&mut self, list: &[Address], now: Nanos) -> bool {
         let list = &list[..list.len().min(MAX_ADDRESSES)];
         let same = self.len() == list.len() && list.iter().all(|a| self.live().any(|k| k.address == *a));
         let mut old = std::mem::take(&mut self.known);
@@ -81,7 +87,7 @@
                 None => {
                     self.next += 1;
                     Known {
-                        id: Id(self.next),
+                        id: AddressId(self.next),
                         address: address.clone(),
                         handshake: None,
                         faults: 0,
@@ -100,7 +106,7 @@
         for known in &mut old {
             known.left.get_or_insert(now);
         }
-        old.retain(|k| k.left.is_some_and(|at| now < at + FORGET));
+        old.retain(|k| k.left.is_some_and(|at| now < at + REMOVED_RETENTION));
         old.sort_by_key(|k| std::cmp::Reverse(k.left));
         old.truncate(MAX_ADDRESSES);
         self.known.extend(old);
@@ -111,11 +117,11 @@
         self.known.iter().filter(|k| k.left.is_none())
     }
 
-    fn get(&self, id: Id) -> Option<&Known> {
+    fn get(&self, id: AddressId) -> Option<&Known> {
         self.known.iter().find(|k| k.id == id)
     }
 
-    fn get_mut(&mut self, id: Id) -> Option<&mut Known> {
+    fn get_mut(&mut self, id: AddressId) -> Option<&mut Known> {
         self.known.iter_mut().find(|k| k.id == id)
     }
 
@@ -130,7 +136,7 @@
     }
 
     /// How many are kept in mind, those that left counted; at most twice [`MAX_ADDRESSES`].
-    pub fn remembered(&self) -> usize {
+    pub fn retained_len(&self) -> usize {
         self.known.len()
     }
 
@@ -140,12 +146,12 @@
     }
 
     /// An address in the list.
-    pub fn address(&self, id: Id) -> Option<&Address> {
+    pub fn address(&self, id: AddressId) -> Option<&Address> {
         self.get(id).filter(|k| k.left.is_none()).map(|k| &k.address)
     }
 
     /// It is in the list, and may carry something new: no fault is known of it, or there is no other.
-    pub fn usable(&self, id: Id) -> bool {
+    pub fn usable(&self, id: AddressId) -> bool {
         match self.get(id) {
             Some(k) if k.left.is_none() => k.faults == 0 || self.len() == 1,
             _ => false,
@@ -159,7 +165,7 @@
     /// well. The rest is not tried. Where all are bad there is none until one has waited, so that a dead box costs
     /// few connections; but silence alone never takes the last address away, since a box that is only slow is silent
     /// as well. A single address is always tried: whether to leave its box alone is not decided here.
-    pub fn order(&mut self, now: Nanos, write: bool) -> Vec<Id> {
+    pub fn connection_order(&mut self, now: Nanos, write: bool) -> Vec<AddressId> {
         if self.len() == 1 {
             return self.live().map(|k| k.id).collect();
         }
@@ -185,7 +191,7 @@
     }
 
     /// Those without a fault, families in turn.
-    fn interleaved(&self) -> Vec<Id> {
+    fn interleaved(&self) -> Vec<AddressId> {
         let well: Vec<&Known> = self.live().filter(|k| k.faults == 0).collect();
         let mut families: Vec<Family> = Vec::new();
         let listed = well.iter().map(|k| k.address.family());
@@ -209,7 +215,7 @@
 
     /// How long to wait for an address to come up before another is tried beside it, where a request has so much
     /// time left: as long as its handshakes take, and no more than a part of that time.
-    pub fn delay(&self, id: Id, left: Nanos) -> Nanos {
+    pub fn attempt_delay(&self, id: AddressId, left: Nanos) -> Nanos {
         let usual = match self.get(id).and_then(|k| k.handshake) {
             Some((mean, off)) => mean + 4 * off,
             None => UNKNOWN,
@@ -220,13 +226,13 @@
     // ---- what happened ----
 
     /// A connection came up after so long. That says nothing of whether anybody will answer on it.
-    pub fn up(&mut self, id: Id, took: Nanos) {
+    pub fn connected(&mut self, id: AddressId, took: Nanos) {
         let Some(known) = self.get_mut(id) else { return };
         known.handshake = Some(smooth(known.handshake, took));
     }
 
     /// It answered, after so long: all is well with it.
-    pub fn answered(&mut self, id: Id, took: Nanos, now: Nanos) {
+    pub fn answer_received(&mut self, id: AddressId, took: Nanos, now: Nanos) {
         self.usual = Some(smooth(self.usual, took));
         let Some(known) = self.get_mut(id) else { return };
         (known.faults, known.refused, known.until, known.trial) = (0, false, 0, None);
@@ -238,14 +244,14 @@
     }
 
     /// A connection to it did not come up, or ended before anything was answered on it.
-    pub fn failed(&mut self, id: Id, now: Nanos) {
+    pub fn connection_failed(&mut self, id: AddressId, now: Nanos) {
         self.fault(id, now, true);
     }
 
     /// A request that was sent to it at `sent` has run out of time, or was called off. True if that is the address's
     /// fault as far as can be seen: nothing was answered over it since, and there was time enough for an answer.
     /// Connections to it are better not used then.
-    pub fn silent(&mut self, id: Id, sent: Nanos, called_off: bool, now: Nanos) -> bool {
+    pub fn request_unanswered(&mut self, id: AddressId, sent: Nanos, called_off: bool, now: Nanos) -> bool {
         let (waited, usual) = (now.saturating_sub(sent), self.usual);
         let longer = |much: Nanos, least: Nanos| {
             usual.is_some_and(|(mean, off)| waited >= (mean + much * off).max(least))
@@ -267,7 +273,7 @@
         true
     }
 
-    fn fault(&mut self, id: Id, now: Nanos, refused: bool) {
+    fn fault(&mut self, id: AddressId, now: Nanos, refused: bool) {
         let jitter = 1.0 - JITTER + 2.0 * JITTER * self.rng.f64();
         let Some(known) = self.get_mut(id) else { return };
         // Several requests that fail in one time of waiting are one fault.
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A box that is announced as leaving may get nothing new once its announcement counts as told and the grace of the
 //! settings is over, whether or not the news arrived. So there is a latest moment by which this proxy must have heard
-//! what it may have missed, and all calls are planned backwards from it ([`Follower`]). No sockets, no clock: time is
+//! what it may have missed, and all calls are planned backwards from it ([`PollScheduler`]). No sockets, no clock: time is
 //! handed in, chance comes from a seed. Times are nanoseconds.
 //!
 //! What counts as told when, by the operators' pages:
@@ -14,10 +14,10 @@
 //! | asked for | no watch is open | once the settings' time for asking has passed since the last call, four times that if it failed |
 //! | pushed | no watch is open, or the process has just begun | at once: the agent on this machine has it |
 
-mod stream;
+mod subscription;
 
 use calicosaddle::api::Settings;
-pub use stream::Stream;
+pub use subscription::Subscription;
 
 /// Time, or a span of it, in nanoseconds.
 pub type Nanos = u64;
@@ -45,20 +45,25 @@
 
 /// What the settings say.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct PollConfig {
     /// Lists are pushed to an agent on this machine (else one discovery is asked by all proxies).
     pub pushed: bool,
     /// How many proxies there are.
     pub proxies: u32,
     /// Without a watch the list must be asked for within this time.
-    pub must_ask_in: Nanos,
+    pub max_poll_interval: Nanos,
     /// Nothing new goes to a box later than this after its drain was told.
-    pub grace: Nanos,
+    pub drain_grace: Nanos,
 }
 
-impl From<&Settings> for Terms {
-    fn from(s: &Settings) -> Terms {
-        Terms { pushed: !s.must_ask, proxies: s.proxies, must_ask_in: s.must_ask_in, grace: s.drain_grace }
+impl From<&Settings> for PollConfig {
+    fn from(s: &Settings) -> PollConfig {
+        PollConfig {
+            pushed: !s.must_ask,
+            proxies: s.proxies,
+            max_poll_interval: s.must_ask_in,
+            drain_grace: s.drain_grace,
+        }
     }
 }
 
@@ -72,24 +77,24 @@
     Watching { opened: Nanos, over: Nanos, anew: Nanos },
 }
 
-/// Plans the calls of one proxy. Its host opens one whenever [`Follower::due`] says so, and tells what became of it.
+/// Plans the calls of one proxy. Its host opens one whenever [`PollScheduler::start_if_due`] says so, and tells what became of it.
 #[derive(Debug)]
-pub struct Follower {
-    terms: Terms,
+pub struct PollScheduler {
+    terms: PollConfig,
     random: u64,
     state: State,
     /// Calls in a row that failed or fell silent.
     failures: u32,
     /// The earliest moment at which something that this proxy may have missed counts as told. Where lists are pushed
-    /// calls in trouble follow one another so closely ([`Follower::often`]) that nothing is reckoned with it.
+    /// calls in trouble follow one another so closely ([`PollScheduler::often`]) that nothing is reckoned with it.
     owed: Option<Nanos>,
 }
 
-impl Follower {
+impl PollScheduler {
     /// A process that has just begun, with a list that may be old.
-    pub fn new(terms: Terms, seed: u64, now: Nanos) -> Self {
+    pub fn new(terms: PollConfig, seed: u64, now: Nanos) -> Self {
         let state = State::Resting { next: now };
-        let mut follower = Follower { terms, random: seed, state, failures: 0, owed: None };
+        let mut follower = PollScheduler { terms, random: seed, state, failures: 0, owed: None };
         if !terms.pushed {
             let fleet = follower.fleet();
             follower.state = State::Resting { next: now + follower.part_of(fleet, 0.2) };
@@ -98,12 +103,12 @@
     }
 
     /// Other settings hold from now on.
-    pub fn configure(&mut self, terms: Terms) {
+    pub fn configure(&mut self, terms: PollConfig) {
         self.terms = terms;
     }
 
-    /// When [`Follower::due`] is to be asked next.
-    pub fn next(&self) -> Nanos {
+    /// When [`PollScheduler::start_if_due`] is to be asked next.
+    pub fn next_wakeup(&self) -> Nanos {
         match self.state {
             State::Resting { next } => next,
             State::Asking { anew, .. } | State::Watching { anew, .. } => anew,
@@ -112,16 +117,16 @@
 
     /// True if a call that does not wait is to begin now. One that is out is silent then: what it may still say is to be
     /// listened for, since it counts as told when it is written.
-    pub fn due(&mut self, now: Nanos) -> bool {
-        let due = self.next() <= now;
+    pub fn start_if_due(&mut self, now: Nanos) -> bool {
+        let due = self.next_wakeup() <= now;
         if due {
-            self.anew(now);
+            self.start_replacement(now);
         }
         due
     }
 
     /// The call that is out has stopped in the middle of its answer: another one begins now, as if it were due.
-    pub fn anew(&mut self, now: Nanos) {
+    pub fn start_replacement(&mut self, now: Nanos) {
         match self.state {
             State::Resting { .. } => {}
             State::Asking { opened, .. } => {
@@ -135,7 +140,7 @@
 
     /// A call has told the list in force or a newer one: the latest that began, or one that has been given up since. A
     /// call that waits so long for what comes next is to begin now, if any.
-    pub fn answered(&mut self, now: Nanos, latest: bool) -> Option<Nanos> {
+    pub fn list_received(&mut self, now: Nanos, latest: bool) -> Option<Nanos> {
         if !latest && matches!(self.state, State::Watching { .. }) {
             return None;
         }
@@ -146,12 +151,12 @@
     }
 
     /// The latest call was refused, reset, or told nothing that can be used.
-    pub fn failed(&mut self, now: Nanos) {
+    pub fn poll_failed(&mut self, now: Nanos) {
         self.failures += 1;
         let delay = if self.terms.pushed {
             self.often()
         } else {
-            let most = (self.terms.must_ask_in / 3).max(SECOND).max(self.fleet());
+            let most = (self.terms.max_poll_interval / 3).max(SECOND).max(self.fleet());
             let backoff = self.part_of((self.fleet() << self.failures.min(8)).min(most), 0.2);
             backoff.min(self.part_of(self.bound(now), 0.75))
         };
@@ -159,7 +164,7 @@
     }
 
     /// Discovery is elsewhere from now on; the calls that were out are over.
-    pub fn moved(&mut self, now: Nanos) {
+    pub fn discovery_moved(&mut self, now: Nanos) {
         self.failures = 0;
         self.owed = Some(now + TOLD_AFTER_MOVE);
         self.state = State::Resting { next: now };
@@ -186,12 +191,12 @@
 
     /// The time between two tries to reach an agent on this machine: several within the grace.
     fn often(&self) -> Nanos {
-        (self.terms.grace / 5).clamp(20 * MS, 100 * MS)
+        (self.terms.drain_grace / 5).clamp(20 * MS, 100 * MS)
     }
 
     /// How long a proxy may go without a call before the list counts as known without it, some time to spare.
     fn latest_call(&self) -> Nanos {
-        self.terms.must_ask_in.max(2 * SECOND) * 4 / 5
+        self.terms.max_poll_interval.max(2 * SECOND) * 4 / 5
     }
 
     /// The time over which the calls of all proxies are spread, so that they make about [`CALLS`] a second.
--- a/crates/freshness/tests/histories.rs
+++ b/crates/freshness/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Drawn histories of discovery's faults against the time at which news counts as told.
 
 use calicosaddle::api::{Action, Event, ListKind, Settings};
-use freshness::{Follower, Nanos, Stream, Terms};
+use freshness::{Nanos, PollConfig, PollScheduler, Subscription};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
@@ -15,33 +15,33 @@
     Silent,
 }
 
-fn terms(pushed: bool, proxies: u32) -> Terms {
-    Terms { pushed, proxies, must_ask_in: 10 * SECOND, grace: 500 * MS }
+fn terms(pushed: bool, proxies: u32) -> PollConfig {
+    PollConfig { pushed, proxies, max_poll_interval: 10 * SECOND, drain_grace: 500 * MS }
 }
 
 /// Brings a follower to a watch that has just begun; the time, and how long the watch waits.
-fn watching(follower: &mut Follower) -> (Nanos, Nanos) {
-    let mut now = follower.next();
-    assert!(follower.due(now));
+fn watching(follower: &mut PollScheduler) -> (Nanos, Nanos) {
+    let mut now = follower.next_wakeup();
+    assert!(follower.start_if_due(now));
     now += 5 * MS;
-    (now, follower.answered(now, true).expect("a watch"))
+    (now, follower.list_received(now, true).expect("a watch"))
 }
 
 /// The calls that begin from `now` on while each meets the fate that is drawn for it, up to `until`.
-fn calls(follower: &mut Follower, fates: impl Fn(usize) -> (Fate, Nanos), until: Nanos) -> Vec<Nanos> {
+fn calls(follower: &mut PollScheduler, fates: impl Fn(usize) -> (Fate, Nanos), until: Nanos) -> Vec<Nanos> {
     let mut begun = Vec::new();
     loop {
-        let now = follower.next();
+        let now = follower.next_wakeup();
         if now > until {
             return begun;
         }
-        assert!(follower.due(now), "what is due at {now} begins then");
+        assert!(follower.start_if_due(now), "what is due at {now} begins then");
         let (fate, takes) = fates(begun.len());
         begun.push(now);
         match fate {
             // A refusal after the next call has begun is the refusal of one that was given up: no news.
-            Fate::Refused if now + takes < follower.next() => follower.failed(now + takes),
-            Fate::Answered if now + takes < follower.next() => return begun,
+            Fate::Refused if now + takes < follower.next_wakeup() => follower.poll_failed(now + takes),
+            Fate::Answered if now + takes < follower.next_wakeup() => return begun,
             _ => {}
         }
     }
@@ -60,7 +60,7 @@
     fn after_a_silent_watch_several_calls_begin_before_its_news_counts_as_told(
         pushed: bool, proxies in 1u32..2_000, seed: u64, fates in prop::collection::vec(fate(), 2),
     ) {
-        let mut follower = Follower::new(terms(pushed, proxies), seed, SECOND);
+        let mut follower = PollScheduler::new(terms(pushed, proxies), seed, SECOND);
         let (at, wait) = watching(&mut follower);
         let told = (at + 6 * SECOND).max(at + wait + 2 * SECOND);
         let begun = calls(&mut follower, |i| fates.get(i).copied().unwrap_or((Fate::Answered, 0)), told);
@@ -72,17 +72,17 @@
     fn after_a_silent_first_call_or_a_move_calls_begin_before_news_counts_as_told(
         moved: bool, proxies in 1u32..2_000, seed: u64, fates in prop::collection::vec(fate(), 2),
     ) {
-        let mut follower = Follower::new(terms(false, proxies), seed, SECOND);
+        let mut follower = PollScheduler::new(terms(false, proxies), seed, SECOND);
         let (mut at, _) = watching(&mut follower);
         let mut all = vec![(Fate::Silent, 0)];
         let told = if moved {
             at += 100 * MS;
-            follower.moved(at);
+            follower.discovery_moved(at);
             at + 4 * SECOND
         } else {
             // The watch is reset; the next call says nothing.
-            follower.failed(at);
-            at = follower.next();
+            follower.poll_failed(at);
+            at = follower.next_wakeup();
             at + 6 * SECOND
         };
         all.extend(fates);
@@ -95,11 +95,11 @@
     fn an_agent_is_called_again_within_half_of_the_grace(
         grace in 100u64..2_000, seed: u64, fates in prop::collection::vec(fate(), 20),
     ) {
-        let terms = Terms { grace: grace * MS, ..terms(true, 350) };
-        let mut follower = Follower::new(terms, seed, SECOND);
-        prop_assert_eq!(follower.next(), SECOND);
+        let terms = PollConfig { drain_grace: grace * MS, ..terms(true, 350) };
+        let mut follower = PollScheduler::new(terms, seed, SECOND);
+        prop_assert_eq!(follower.next_wakeup(), SECOND);
         let begun = calls(&mut follower, |i| fates.get(i).copied().unwrap_or((Fate::Answered, 0)), 60 * SECOND);
-        prop_assert!(begun.windows(2).all(|two| two[1] - two[0] <= terms.grace / 2), "{begun:?}");
+        prop_assert!(begun.windows(2).all(|two| two[1] - two[0] <= terms.drain_grace / 2), "{begun:?}");
     }
 }
 
@@ -109,7 +109,7 @@
         let mut first = Vec::new();
         let mut all = Vec::new();
         for seed in 0..u64::from(proxies) {
-            let mut follower = Follower::new(terms(false, proxies), seed * 77 + 1, 0);
+            let mut follower = PollScheduler::new(terms(false, proxies), seed * 77 + 1, 0);
             let begun = calls(&mut follower, |_| (Fate::Refused, 0), 30 * SECOND);
             first.push(begun[0]);
             all.extend(begun);
@@ -126,16 +126,16 @@
 /// Starts so many proxies at once with an old list before a discovery that takes 40 calls a second, and turns away
 /// what would wait for over a second. Tells the most calls in a second, all calls, and when the last one was told.
 fn returned(proxies: u32) -> (usize, usize, Nanos) {
-    let mut all: Vec<Follower> =
-        (0..u64::from(proxies)).map(|i| Follower::new(terms(false, proxies), i * 77 + 1, 0)).collect();
+    let mut all: Vec<PollScheduler> =
+        (0..u64::from(proxies)).map(|i| PollScheduler::new(terms(false, proxies), i * 77 + 1, 0)).collect();
     let (mut free_at, mut calls, mut told) = (0, Vec::new(), vec![None; all.len()]);
-    while let Some(i) = (0..all.len()).filter(|i| told[*i].is_none()).min_by_key(|i| all[*i].next()) {
-        let now = all[i].next();
-        assert!(now < 120 * SECOND && all[i].due(now), "{calls:?}");
+    while let Some(i) = (0..all.len()).filter(|i| told[*i].is_none()).min_by_key(|i| all[*i].next_wakeup()) {
+        let now = all[i].next_wakeup();
+        assert!(now < 120 * SECOND && all[i].start_if_due(now), "{calls:?}");
         calls.push(now);
         free_at = free_at.max(now);
         if free_at > now + SECOND {
-            all[i].failed(now);
+            all[i].poll_failed(now);
         } else {
             free_at += SECOND / 40;
             told[i] = Some(free_at);
@@ -162,8 +162,8 @@
 fn a_stream_is_subscribed_to_again_after_each_failure_and_only_where_lists_are_asked_for() {
     let list = |kind| Event::List { kind, entries: Vec::new() };
     let settings = Settings { must_ask: true, proxies: 4, must_ask_in: 10 * SECOND, ..Settings::default() };
-    let mut pushed = Stream::new(&Settings { must_ask: false, ..settings.clone() }, 3);
-    let (mut stream, mut now, mut actions) = (Stream::new(&settings, 3), SECOND, Vec::new());
+    let mut pushed = Subscription::new(&Settings { must_ask: false, ..settings.clone() }, 3);
+    let (mut stream, mut now, mut actions) = (Subscription::new(&settings, 3), SECOND, Vec::new());
     pushed.handle(now, &list(ListKind::Cached), &mut actions);
     assert_eq!(actions, []);
     stream.handle(now, &list(ListKind::Cached), &mut actions);
--- a/crates/model/src/host.rs
+++ b/crates/model/src/host.rs
@@ -7,7 +7,10 @@
 use crate::sim::{End, Ev, Sim};
 use crate::{Nanos, MS};
 use calicosaddle::api::*;
-use pipeline::{Ask, Called, Command, Fate, Lane, Pipe, Place, Rest, Seen as Connected, Times};
+use pipeline::{
+    BoxLatencies, CancelOutcome, Command, CommandKind, ConnectionState, DisconnectOutcome, Pipeline,
+    Placement, PlacementRequest, SettleDelay,
+};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
@@ -53,8 +56,8 @@
         (self.id, self.number)
     }
 
-    fn lane(&self) -> Lane {
-        Lane { write: self.write, long: false }
+    fn kind(&self) -> CommandKind {
+        CommandKind { write: self.write, large_value: false }
     }
 }
 
@@ -62,7 +65,7 @@
 #[derive(Debug, Default)]
 struct Reached {
     connections: Vec<usize>,
-    times: Box<Times>,
+    times: Box<BoxLatencies>,
 }
 
 /// A connection to a box.
@@ -76,7 +79,7 @@
     pub up: bool,
     /// The box has too many, and turns away what comes by it.
     pub crowded: bool,
-    pipe: Pipe<Waiting>,
+    pipe: Pipeline<Waiting>,
     begun: Nanos,
     moved: Nanos,
     /// When the last answer came on it, and from when on it may carry the next request.
@@ -107,9 +110,9 @@
     pub open: FxHashMap<u64, Open>,
     by_box: FxHashMap<u32, Reached>,
     /// What all boxes were measured to take.
-    times: Times,
+    times: BoxLatencies,
     /// How long its connections rest, as it has learned.
-    rest: Rest,
+    rest: SettleDelay,
     pub connections: usize,
     pub known: Vec<Known>,
     /// Boxes whose drain it was told of, and when.
@@ -118,7 +121,7 @@
 }
 
 impl Host {
-    pub fn new(zone: usize, rest: Rest) -> Self {
+    pub fn new(zone: usize, rest: SettleDelay) -> Self {
         Host {
             zone,
             alive: true,
@@ -127,7 +130,7 @@
             policy: None,
             open: FxHashMap::default(),
             by_box: FxHashMap::default(),
-            times: Times::NONE,
+            times: BoxLatencies::NONE,
             rest,
             connections: 0,
             known: Vec::new(),
@@ -145,7 +148,7 @@
     }
 
     /// All that its process held is gone; what clients wait for.
-    pub fn dies(&mut self, rest: Rest) -> (Vec<Open>, Vec<usize>) {
+    pub fn dies(&mut self, rest: SettleDelay) -> (Vec<Open>, Vec<usize>) {
         self.alive = false;
         self.life += 1;
         self.subscribed = false;
@@ -153,7 +156,7 @@
         self.events.clear();
         self.connections = 0;
         self.told_drain.clear();
-        (self.times, self.rest) = (Times::NONE, rest);
+        (self.times, self.rest) = (BoxLatencies::NONE, rest);
         let mut open: Vec<(u64, Open)> = self.open.drain().collect();
         open.sort_unstable_by_key(|(id, _)| *id);
         let mut connections: Vec<usize> = self.by_box.drain().flat_map(|(_, r)| r.connections).collect();
@@ -289,7 +292,7 @@
     /// Closes a connection; what waits on it, of which nothing is written, goes by another.
     fn close_and_go_on(&mut self, key: usize) {
         let Some(c) = &mut self.connections[key] else { return };
-        let (proxy, at, jobs) = (c.proxy, c.to, c.pipe.strand());
+        let (proxy, at, jobs) = (c.proxy, c.to, c.pipe.take_queued());
         self.close(key);
         for job in jobs {
             self.hosts[proxy].goes_by(&job, None);
@@ -316,33 +319,34 @@
         let per_box = (t.box_connections / t.proxies.max(1)).clamp(1, t.most_connections);
         let room = self.hosts[proxy].by_box.get(&at).map_or(0, |r| r.connections.len()) < per_box;
         match self.choose(proxy, at, job, room) {
-            Place::New => self.connect(proxy, at).or_else(|| self.choose(proxy, at, job, false).key()),
+            Placement::New => self.connect(proxy, at).or_else(|| self.choose(proxy, at, job, false).key()),
             place => place.key(),
         }
     }
 
-    fn choose(&self, proxy: usize, at: u32, job: &Waiting, room: bool) -> Place<usize> {
+    fn choose(&self, proxy: usize, at: u32, job: &Waiting, room: bool) -> Placement<usize> {
         let reached = self.hosts[proxy].by_box.get(&at);
         let (keys, times) =
-            reached.map_or((&[][..], &Times::NONE), |r| (r.connections.as_slice(), &*r.times));
+            reached.map_or((&[][..], &BoxLatencies::NONE), |r| (r.connections.as_slice(), &*r.times));
         let seen = keys.iter().filter_map(|key| {
             let c = self.connections[*key].as_ref()?;
             let rests = c.up && c.pipe.depth() == 0;
-            let fits = if rests { self.now - c.moved < self.idle_after } else { !c.pipe.haunted() };
-            fits.then(|| Connected {
+            let fits =
+                if rests { self.now - c.moved < self.idle_after } else { !c.pipe.has_cancelled_in_flight() };
+            fits.then(|| ConnectionState {
                 key: *key,
-                up: c.up,
-                since: if c.up { c.moved } else { c.begun },
-                ready: c.ready,
+                connected: c.up,
+                active_since: if c.up { c.moved } else { c.begun },
+                writable_at: c.ready,
                 depth: c.pipe.depth(),
                 head_age: c.pipe.head_age(self.now),
-                history: c.pipe.history(),
-                same_lane: c.pipe.is_of(job.lane()),
+                latency: c.pipe.latency(),
+                same_kind: c.pipe.is_uniform(job.kind()),
             })
         });
-        let ask = Ask { lane: job.lane(), aim: job.aim, room };
-        let known = pipeline::Known { of_box: times, of_all: &self.hosts[proxy].times };
-        pipeline::place(&ask, seen, known, &self.pipes, self.now)
+        let ask = PlacementRequest { kind: job.kind(), target_time: job.aim, may_open: room };
+        let known = pipeline::LatencyContext { this_box: times, all_boxes: &self.hosts[proxy].times };
+        pipeline::choose_connection(&ask, seen, known, &self.pipes, self.now)
     }
 
     /// A connection has nothing to do any more: it takes what waits longest for one that is not up yet.
@@ -350,10 +354,10 @@
         let free = |c: &&Connection| c.up && c.pipe.depth() == 0;
         let Some(c) = self.connections[key].as_ref().filter(free) else { return };
         let Some(reached) = self.hosts[c.proxy].by_box.get(&c.to) else { return };
-        let waits = |k: &&usize| self.connections[**k].as_ref().is_some_and(|c| !c.up && c.pipe.waits());
+        let waits = |k: &&usize| self.connections[**k].as_ref().is_some_and(|c| !c.up && c.pipe.has_queued());
         let slow = reached.connections.iter().filter(waits);
         let slow = slow.min_by_key(|k| self.connections[**k].as_ref().map(|c| (c.begun, c.serial)));
-        let job = slow.copied().and_then(|k| self.connections[k].as_mut()?.pipe.take());
+        let job = slow.copied().and_then(|k| self.connections[k].as_mut()?.pipe.pop_queued());
         if let Some(job) = job {
             self.put(key, job);
         }
@@ -377,7 +381,7 @@
             serial,
             up: false,
             crowded: false,
-            pipe: Pipe::default(),
+            pipe: Pipeline::default(),
             begun: now,
             moved: now,
             answered: 0,
@@ -420,7 +424,7 @@
     /// Writes what waits, each attempt checked when its turn comes.
     pub(crate) fn flush(&mut self, key: usize) {
         while let Some(c) = self.connections[key].as_mut().filter(|c| c.ready <= self.now) {
-            let Some(job) = c.pipe.take() else { return };
+            let Some(job) = c.pipe.pop_queued() else { return };
             let (id, attempt) = job.tag();
             let (proxy, to, serial, seq) = (c.proxy, c.to, c.serial, c.next);
             let host = &self.hosts[proxy];
@@ -443,8 +447,8 @@
             let Some(c) = &mut self.connections[key] else { return };
             c.next += 1;
             c.moved = self.now;
-            c.pipe.begin(job, 1);
-            c.pipe.wrote(1, self.now, |_| ());
+            c.pipe.add_to_batch(job, 1);
+            c.pipe.record_written(1, self.now, |_| ());
             let write = self.requests[request as usize].write.then_some(u64::from(request));
             let job = crate::boxes::Job {
                 connection: key,
@@ -468,11 +472,11 @@
         let Some(out) = open.out.iter().find(|a| a.number == attempt) else { return };
         if let Some(key) = out.connection {
             let Some(c) = &mut self.connections[key] else { return };
-            if c.pipe.cancel((id, attempt)) == Called::Waiting && status == Status::Timeout {
+            if c.pipe.cancel((id, attempt)) == CancelOutcome::Queued && status == Status::Timeout {
                 status = Status::ConnectFailed;
             }
             // Only what is over is left: closing spares the box its work.
-            if c.pipe.deserted() && c.pipe.sent() > 0 {
+            if c.pipe.has_no_waiters() && c.pipe.in_flight() > 0 {
                 self.close(key);
             }
         }
@@ -524,8 +528,9 @@
         if let Some(reached) = host.by_box.get_mut(&to) {
             reached.connections.retain(|k| *k != key);
         }
-        for ((id, attempt), fate) in c.pipe.ended() {
-            let status = if fate == Fate::Uncertain { Status::Reset } else { Status::ConnectFailed };
+        for ((id, attempt), fate) in c.pipe.into_outcomes() {
+            let status =
+                if fate == DisconnectOutcome::Unknown { Status::Reset } else { Status::ConnectFailed };
             self.ended(proxy, id, attempt, status, None);
         }
     }
@@ -535,8 +540,8 @@
         let Some(c) = &self.connections[key] else { return };
         let host = &mut self.hosts[c.proxy];
         if let Some(reached) = host.by_box.get_mut(&c.to) {
-            reached.times.connected(self.now - c.begun);
-            host.times.connected(self.now - c.begun);
+            reached.times.record_connect(self.now - c.begun);
+            host.times.record_connect(self.now - c.begun);
         }
         self.flush(key);
     }
@@ -547,9 +552,9 @@
         let Some(c) = &mut self.connections[key] else { return };
         let (proxy, serial) = (c.proxy, c.serial);
         c.moved = self.now;
-        let Some(answered) = c.pipe.answered(self.now) else {
+        let Some(answered) = c.pipe.complete_head(self.now) else {
             // Nobody asked for it.
-            self.hosts[proxy].rest.surplus(self.now - c.answered);
+            self.hosts[proxy].rest.record_unsolicited(self.now - c.answered);
             self.close_and_go_on(key);
             self.decide(proxy);
             return;
@@ -558,7 +563,7 @@
         let host = &mut self.hosts[proxy];
         (c.answered, c.ready) = (self.now, self.now);
         if c.pipe.depth() == 0 {
-            c.ready += host.rest.span();
+            c.ready += host.rest.duration();
         }
         // What comes with an answer is read with it, before anything is written.
         let more = match more {
@@ -571,7 +576,7 @@
         let host = &mut self.hosts[proxy];
         if let Some(reached) = host.by_box.get_mut(&to) {
             for times in [&mut *reached.times, &mut host.times] {
-                times.answered(answered.lane, answered.behind, answered.took, answered.as_head);
+                times.record_answer(answered.kind, answered.pipelined, answered.latency, answered.head_time);
             }
         }
         if status == Status::Spoilt {
@@ -601,7 +606,7 @@
         self.ended(proxy, id, attempt, status, hit);
         self.decide(proxy);
         if let Some((key, hit)) = read.filter(|_| self.copies.is_some()) {
-            self.copy(proxy, key, hit, (!answered.behind).then_some(answered.took));
+            self.copy(proxy, key, hit, (!answered.pipelined).then_some(answered.latency));
         }
         self.and_more(key, serial, more);
     }
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -2,7 +2,7 @@
 
 use calicosaddle::api::{Action, Event, Nanos, ServerId, Settings};
 use calicosaddle::Brain;
-use freshness::Stream;
+use freshness::Subscription;
 
 /// The state of the boxes as it is, which nobody knows outside a model.
 pub trait Truth {
@@ -24,13 +24,13 @@
 /// The shipped module, and what follows the list for it.
 pub struct Shipped {
     brain: Brain,
-    stream: Stream,
+    stream: Subscription,
 }
 
 impl Shipped {
     /// A process that begins at the first event; nothing learned.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        Shipped { brain: Brain::new(settings.clone(), seed), stream: Stream::new(settings, seed) }
+        Shipped { brain: Brain::new(settings.clone(), seed), stream: Subscription::new(settings, seed) }
     }
 }
 
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::chance::Chance;
 use crate::{millis, seconds, Nanos};
 use calicosaddle::api::{Class, Effect, Group, Settings};
-use pipeline::{Limits, Placing, Rest};
+use pipeline::{PipelineConfig, PlacementPolicy, SettleDelay};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -117,7 +117,7 @@
     /// How long a connection rests after an answer at first, where one at a time goes out.
     pub rest_ms: f64,
     /// How a proxy chooses among its connections to a box.
-    pub placing: Placing,
+    pub placing: PlacementPolicy,
     /// A connection whose head is older than this part of its heads were takes nothing new; 1: whatever its age.
     pub head_quantile: f64,
     /// Connections that carry nothing are closed after this.
@@ -146,7 +146,7 @@
             streams: 8,
             depth: 1,
             rest_ms: 5.0,
-            placing: Placing::Fixed,
+            placing: PlacementPolicy::Fixed,
             head_quantile: 1.0,
             idle_s: 5.0,
             connect_timeout_ms: 300.0,
@@ -158,11 +158,17 @@
 
 impl Topology {
     /// What a proxy may do with its connections to a box.
-    pub fn pipes(&self) -> Limits {
+    pub fn pipes(&self) -> PipelineConfig {
         let (placing, head_quantile) = (self.placing, self.head_quantile);
         let depth = self.depth.min(self.streams);
-        let rest = if depth > 1 { Rest::NONE } else { Rest::new(Some(millis(self.rest_ms))) };
-        Limits { placing, depth: [depth; 2], head_quantile, rest, ..Limits::default() }
+        let rest = if depth > 1 { SettleDelay::NONE } else { SettleDelay::new(Some(millis(self.rest_ms))) };
+        PipelineConfig {
+            placement: placing,
+            max_depth: [depth; 2],
+            head_quantile,
+            settle_delay: rest,
+            ..PipelineConfig::default()
+        }
     }
 }
 
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -211,7 +211,7 @@
     /// A connection that was idle for so long is not used again.
     pub idle_after: Nanos,
     /// How connections to boxes are chosen.
-    pub pipes: pipeline::Limits,
+    pub pipes: pipeline::PipelineConfig,
     arrivals: Arrivals<'a>,
     clients: Chance,
     work: Chance,
@@ -257,7 +257,7 @@
             heap: BinaryHeap::new(),
             stalled: Vec::new(),
             cut: vec![0; t.zones],
-            hosts: (0..t.proxies).map(|i| Host::new(i % t.zones, t.pipes().rest)).collect(),
+            hosts: (0..t.proxies).map(|i| Host::new(i % t.zones, t.pipes().settle_delay)).collect(),
             boxes: Vec::new(),
             joined: Vec::new(),
             by_server: FxHashMap::default(),
@@ -562,7 +562,7 @@
                 if !self.hosts[proxy].alive {
                     return;
                 }
-                let (open, connections) = self.hosts[proxy].dies(self.pipes.rest);
+                let (open, connections) = self.hosts[proxy].dies(self.pipes.settle_delay);
                 for key in connections {
                     self.unplug(key);
                 }
--- a/crates/pipeline/src/room.rs
+++ b/crates/pipeline/src/connection_limit.rs
@@ -14,21 +14,21 @@
 /// in a smaller unit than was planned with. Danger: a box that is down refuses as well; that says nothing of its
 /// places, so only a refusal beside a connection that holds counts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Room {
+pub struct ConnectionLimit {
     /// So many held when one more was refused; nothing if none ever was.
     most: Option<usize>,
     until: Nanos,
     pause: Nanos,
 }
 
-impl Room {
+impl ConnectionLimit {
     /// May one be opened beside so many?
     pub fn allows(&self, connections: usize, now: Nanos) -> bool {
         self.most.is_none_or(|most| connections < most || now >= self.until)
     }
 
     /// One was opened and ended before it had ever answered, while so many others answered.
-    pub fn refused(&mut self, held: usize, now: Nanos) {
+    pub fn record_refused(&mut self, held: usize, now: Nanos) {
         if held == 0 || (self.most.is_some() && now < self.until) {
             // The box is gone, or the news is of the same moment.
             return;
@@ -39,9 +39,9 @@
     }
 
     /// One answered for the first time, and there are so many that do.
-    pub fn held(&mut self, connections: usize) {
+    pub fn record_answering(&mut self, connections: usize) {
         if self.most.is_some_and(|most| connections > most) {
-            *self = Room::default();
+            *self = ConnectionLimit::default();
         }
     }
 }
--- a/crates/pipeline/src/times.rs
+++ b/crates/pipeline/src/latency.rs
@@ -1,6 +1,6 @@
 //! What boxes were measured to take.
 
-use crate::{Lane, Nanos};
+use crate::{CommandKind, Nanos};
 
 /// The shortest time that is told apart.
 const SHORTEST: Nanos = 64_000;
@@ -11,17 +11,17 @@
 /// From so many outcomes on, a time is known.
 const EVIDENCE: u16 = 8;
 
-/// Times, counted in classes that grow by the square root of two; old ones fade as new ones come.
+/// BoxLatencies, counted in classes that grow by the square root of two; old ones fade as new ones come.
 /// 68 bytes.
 #[derive(Clone, Debug)]
-pub struct History {
+pub struct LatencyHistogram {
     counts: [u16; CLASSES],
     all: u16,
 }
 
-impl Default for History {
+impl Default for LatencyHistogram {
     fn default() -> Self {
-        History::NONE
+        LatencyHistogram::NONE
     }
 }
 
@@ -42,12 +42,12 @@
     ENDS[class] - ENDS[class] / 7
 }
 
-impl History {
+impl LatencyHistogram {
     /// Nothing seen.
-    pub const NONE: History = History { counts: [0; CLASSES], all: 0 };
+    pub const NONE: LatencyHistogram = LatencyHistogram { counts: [0; CLASSES], all: 0 };
 
     /// Takes one more.
-    pub fn add(&mut self, time: Nanos) {
+    pub fn record(&mut self, time: Nanos) {
         let class = ENDS.partition_point(|end| *end < time).min(CLASSES - 1);
         self.counts[class] += 1;
         self.all += 1;
@@ -58,7 +58,7 @@
     }
 
     /// From how many it speaks.
-    pub fn evidence(&self) -> u16 {
+    pub fn sample_count(&self) -> u16 {
         self.all
     }
 
@@ -80,13 +80,13 @@
     }
 
     /// The longest that was seen, if anything was.
-    pub fn longest(&self) -> Option<Nanos> {
+    pub fn max(&self) -> Option<Nanos> {
         self.counts.iter().rposition(|n| *n > 0).map(|class| ENDS[class])
     }
 
     /// How much longer something takes that has taken so long: the mean of what longer ones took beyond it. What has
     /// outlasted all that was seen is expected to take as long again. Nothing without evidence.
-    pub fn remaining(&self, age: Nanos) -> Option<Nanos> {
+    pub fn expected_remaining(&self, age: Nanos) -> Option<Nanos> {
         if self.all < EVIDENCE {
             return None;
         }
@@ -101,46 +101,50 @@
 
 /// What one box was measured to take, over all connections to it.
 #[derive(Clone, Debug, Default)]
-pub struct Times {
+pub struct BoxLatencies {
     /// From the last byte of a command to its answer, where nothing stood before it: of reads and of writes.
-    alone: [History; 2],
+    alone: [LatencyHistogram; 2],
     /// From one answer to the next, where the later command stood behind: nearly nothing at a box that works on the
     /// commands of a connection at once, a whole service time at one that takes them one by one.
-    gaps: History,
+    gaps: LatencyHistogram,
     /// From the first packet of a connection until it is up.
-    connects: History,
+    connects: LatencyHistogram,
 }
 
-impl Times {
+impl BoxLatencies {
     /// Nothing seen.
-    pub const NONE: Times = Times { alone: [History::NONE; 2], gaps: History::NONE, connects: History::NONE };
+    pub const NONE: BoxLatencies = BoxLatencies {
+        alone: [LatencyHistogram::NONE; 2],
+        gaps: LatencyHistogram::NONE,
+        connects: LatencyHistogram::NONE,
+    };
 
     /// An answer came.
-    pub fn answered(&mut self, lane: Lane, behind: bool, took: Nanos, as_head: Nanos) {
-        if behind {
-            self.gaps.add(as_head);
+    pub fn record_answer(&mut self, kind: CommandKind, pipelined: bool, latency: Nanos, head_time: Nanos) {
+        if pipelined {
+            self.gaps.record(head_time);
         } else {
-            self.alone[usize::from(lane.write)].add(took);
+            self.alone[usize::from(kind.write)].record(latency);
         }
     }
 
     /// A connection came up after so long.
-    pub fn connected(&mut self, took: Nanos) {
-        self.connects.add(took);
+    pub fn record_connect(&mut self, took: Nanos) {
+        self.connects.record(took);
     }
 
     /// What heads took, of this kind.
-    pub fn alone(&self, lane: Lane) -> &History {
-        &self.alone[usize::from(lane.write)]
+    pub fn head_latency(&self, kind: CommandKind) -> &LatencyHistogram {
+        &self.alone[usize::from(kind.write)]
     }
 
     /// What the next took after one was answered.
-    pub fn gaps(&self) -> &History {
+    pub fn answer_gap(&self) -> &LatencyHistogram {
         &self.gaps
     }
 
     /// What connections took to come up.
-    pub fn connects(&self) -> &History {
+    pub fn connect_time(&self) -> &LatencyHistogram {
         &self.connects
     }
 }
--- a/crates/pipeline/src/pipe.rs
+++ b/crates/pipeline/src/queue.rs
@@ -1,16 +1,16 @@
 //! The commands of one connection, in their order.
 
-use crate::{History, Nanos};
+use crate::{LatencyHistogram, Nanos};
 use std::collections::VecDeque;
 use std::ops::Range;
 
 /// What kind of command it is, as far as it matters to those behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lane {
+pub struct CommandKind {
     /// It writes.
     pub write: bool,
     /// It carries a long value.
-    pub long: bool,
+    pub large_value: bool,
 }
 
 /// A command, as its host keeps it until it is written.
@@ -20,57 +20,57 @@
     /// Its name.
     fn tag(&self) -> Self::Tag;
     /// Its kind.
-    fn lane(&self) -> Lane;
+    fn kind(&self) -> CommandKind;
 }
 
 /// What is known of a command whose connection has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum DisconnectOutcome {
     /// It was never written whole: it has not run, and a repeat is harmless.
-    Unwritten,
+    NotWritten,
     /// It was written whole and not answered: it may have run.
-    Uncertain,
+    Unknown,
 }
 
 /// Where a command was that is called off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum CancelOutcome {
     /// Not on this connection, or over already.
-    Absent,
+    NotFound,
     /// It waited, and is gone without a trace.
-    Waiting,
+    Queued,
     /// A part of it is written. The connection can't be used any more: the rest must not follow.
-    Midway,
+    PartlyWritten,
     /// It was written whole. Its answer will be dropped when it comes.
     Written,
 }
 
 /// The answer that has come belongs to this command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answered<T> {
+pub struct CompletedCommand<T> {
     /// Nothing for one that was called off.
     pub tag: Option<T>,
     /// Its kind.
-    pub lane: Lane,
+    pub kind: CommandKind,
     /// From its last byte to the answer.
-    pub took: Nanos,
+    pub latency: Nanos,
     /// The part of that in which it was the first.
-    pub as_head: Nanos,
+    pub head_time: Nanos,
     /// It was written behind others.
-    pub behind: bool,
+    pub pipelined: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Sent<T> {
     tag: Option<T>,
-    lane: Lane,
+    kind: CommandKind,
     wrote: Nanos,
     behind: bool,
 }
 
 /// The commands of one connection. Each is in one place, and leaves once.
 #[derive(Debug)]
-pub struct Pipe<C: Command> {
+pub struct Pipeline<C: Command> {
     waiting: VecDeque<C>,
     /// What is being written, each with where it begins and ends among the bytes of the batch.
     batch: VecDeque<(C, Range<usize>)>,
@@ -82,12 +82,12 @@
     live: usize,
     /// Since when the first of those sent is the first.
     head_since: Nanos,
-    history: History,
+    history: LatencyHistogram,
 }
 
-impl<C: Command> Default for Pipe<C> {
+impl<C: Command> Default for Pipeline<C> {
     fn default() -> Self {
-        Pipe {
+        Pipeline {
             waiting: VecDeque::new(),
             batch: VecDeque::new(),
             bytes: 0,
@@ -95,39 +95,39 @@
             sent: VecDeque::new(),
             live: 0,
             head_since: 0,
-            history: History::default(),
+            history: LatencyHistogram::default(),
         }
     }
 }
 
-impl<C: Command> Pipe<C> {
+impl<C: Command> Pipeline<C> {
     /// Commands on it, those called off counted whose answers are still to come.
     pub fn depth(&self) -> usize {
         self.waiting.len() + self.batch.len() + self.sent.len()
     }
 
     /// Those written whole, those called off counted.
-    pub fn sent(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.sent.len()
     }
 
     /// Nobody waits for anything on it.
-    pub fn deserted(&self) -> bool {
+    pub fn has_no_waiters(&self) -> bool {
         self.waiting.is_empty() && self.batch.is_empty() && self.live == 0
     }
 
     /// One that was called off stands among those sent: its answer may never come.
-    pub fn haunted(&self) -> bool {
+    pub fn has_cancelled_in_flight(&self) -> bool {
         self.live < self.sent.len()
     }
 
     /// Some wait for their turn to be written.
-    pub fn waits(&self) -> bool {
+    pub fn has_queued(&self) -> bool {
         !self.waiting.is_empty()
     }
 
     /// A part of a command is written.
-    pub fn midway(&self) -> bool {
+    pub fn has_batch(&self) -> bool {
         !self.batch.is_empty()
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// The kind of the command whose answer comes next.
-    pub fn head_lane(&self) -> Option<Lane> {
-        self.sent.front().map(|s| s.lane)
+    pub fn head_kind(&self) -> Option<CommandKind> {
+        self.sent.front().map(|s| s.kind)
     }
 
     /// For how long the first of those sent has been the first.
@@ -147,15 +147,15 @@
     }
 
     /// What heads took on this connection.
-    pub fn history(&self) -> &History {
+    pub fn latency(&self) -> &LatencyHistogram {
         &self.history
     }
 
     /// All commands on it are of one kind with this one.
-    pub fn is_of(&self, lane: Lane) -> bool {
-        let written = self.sent.iter().map(|s| s.lane);
-        let unwritten = self.batch.iter().map(|(c, _)| c.lane()).chain(self.waiting.iter().map(C::lane));
-        written.chain(unwritten).all(|l| l == lane)
+    pub fn is_uniform(&self, kind: CommandKind) -> bool {
+        let written = self.sent.iter().map(|s| s.kind);
+        let unwritten = self.batch.iter().map(|(c, _)| c.kind()).chain(self.waiting.iter().map(C::kind));
+        written.chain(unwritten).all(|k| k == kind)
     }
 
     /// The command was written whole, and is not called off.
@@ -169,40 +169,40 @@
     }
 
     /// The next that is to be written.
-    pub fn next_up(&self) -> Option<&C> {
+    pub fn peek_queued(&self) -> Option<&C> {
         self.waiting.front()
     }
 
-    /// The same; it leaves unless [`Pipe::begin`] takes it back.
-    pub fn take(&mut self) -> Option<C> {
+    /// The same; it leaves unless [`Pipeline::add_to_batch`] takes it back.
+    pub fn pop_queued(&mut self) -> Option<C> {
         self.waiting.pop_front()
     }
 
     /// All that wait, to be moved elsewhere: no byte of them is written.
-    pub fn strand(&mut self) -> VecDeque<C> {
+    pub fn take_queued(&mut self) -> VecDeque<C> {
         std::mem::take(&mut self.waiting)
     }
 
     /// Puts a command into the batch that is being written, as so many bytes.
-    pub fn begin(&mut self, command: C, bytes: usize) {
+    pub fn add_to_batch(&mut self, command: C, bytes: usize) {
         let end = self.bytes + bytes;
         self.batch.push_back((command, self.bytes..end));
         self.bytes = end;
     }
 
     /// The batch's bytes, and how many of them are written.
-    pub fn batch(&self) -> (usize, usize) {
+    pub fn batch_progress(&self) -> (usize, usize) {
         (self.bytes, self.written)
     }
 
     /// So many bytes of the batch more are written; each command that is whole by that is told.
-    pub fn wrote(&mut self, bytes: usize, now: Nanos, mut whole: impl FnMut(&C)) {
+    pub fn record_written(&mut self, bytes: usize, now: Nanos, mut whole: impl FnMut(&C)) {
         self.written += bytes;
         while let Some((command, _)) = self.batch.front().filter(|(_, at)| at.end <= self.written) {
             whole(command);
             let sent = Sent {
                 tag: Some(command.tag()),
-                lane: command.lane(),
+                kind: command.kind(),
                 wrote: now,
                 behind: !self.sent.is_empty(),
             };
@@ -220,7 +220,7 @@
 
     /// The socket takes no more for now: what is not begun waits again, in its order, and has to be looked at anew.
     /// Tells how many bytes of the batch are left, written ones counted.
-    pub fn unbegin(&mut self) -> usize {
+    pub fn requeue_unstarted(&mut self) -> usize {
         let written = self.written;
         while let Some((command, _)) = self.batch.pop_back_if(|(_, at)| at.start >= written) {
             self.waiting.push_front(command);
@@ -233,37 +233,37 @@
     }
 
     /// Calls a command off.
-    pub fn cancel(&mut self, tag: C::Tag) -> Called {
+    pub fn cancel(&mut self, tag: C::Tag) -> CancelOutcome {
         if let Some(at) = self.waiting.iter().position(|c| c.tag() == tag) {
             self.waiting.remove(at);
-            Called::Waiting
+            CancelOutcome::Queued
         } else if self.batch.iter().any(|(c, _)| c.tag() == tag) {
             self.batch.retain(|(c, _)| c.tag() != tag);
-            Called::Midway
+            CancelOutcome::PartlyWritten
         } else if let Some(sent) = self.sent.iter_mut().find(|s| s.tag == Some(tag)) {
             sent.tag = None;
             self.live -= 1;
-            Called::Written
+            CancelOutcome::Written
         } else {
-            Called::Absent
+            CancelOutcome::NotFound
         }
     }
 
     /// An answer has come whole: whose it is. Nothing if nobody asked.
-    pub fn answered(&mut self, now: Nanos) -> Option<Answered<C::Tag>> {
+    pub fn complete_head(&mut self, now: Nanos) -> Option<CompletedCommand<C::Tag>> {
         let sent = self.sent.pop_front()?;
         self.live -= usize::from(sent.tag.is_some());
-        let as_head = now.saturating_sub(self.head_since);
+        let head_time = now.saturating_sub(self.head_since);
         self.head_since = now;
-        self.history.add(as_head);
-        let took = now.saturating_sub(sent.wrote);
-        Some(Answered { tag: sent.tag, lane: sent.lane, took, as_head, behind: sent.behind })
+        self.history.record(head_time);
+        let latency = now.saturating_sub(sent.wrote);
+        Some(CompletedCommand { tag: sent.tag, kind: sent.kind, latency, head_time, pipelined: sent.behind })
     }
 
     /// The connection has ended: what is known of each command that somebody waits for, in their order.
-    pub fn ended(self) -> impl Iterator<Item = (C::Tag, Fate)> {
-        let written = self.sent.into_iter().filter_map(|s| Some((s.tag?, Fate::Uncertain)));
+    pub fn into_outcomes(self) -> impl Iterator<Item = (C::Tag, DisconnectOutcome)> {
+        let written = self.sent.into_iter().filter_map(|s| Some((s.tag?, DisconnectOutcome::Unknown)));
         let unwritten = self.batch.into_iter().map(|(c, _)| c).chain(self.waiting);
-        written.chain(unwritten.map(|c| (c.tag(), Fate::Unwritten)))
+        written.chain(unwritten.map(|c| (c.tag(), DisconnectOutcome::NotWritten)))
     }
 }
--- a/crates/pipeline/tests/pipe.rs
+++ b/crates/pipeline/tests/queue.rs
@@ -1,6 +1,6 @@
 //! The order of commands on a connection, against a plain account of the same events.
 
-use pipeline::{Called, Command, Fate, Lane, Pipe};
+use pipeline::{CancelOutcome, Command, CommandKind, DisconnectOutcome, Pipeline};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -13,8 +13,8 @@
     fn tag(&self) -> u32 {
         self.0
     }
-    fn lane(&self) -> Lane {
-        Lane { write: self.0 % 2 == 1, long: false }
+    fn kind(&self) -> CommandKind {
+        CommandKind { write: self.0 % 2 == 1, large_value: false }
     }
 }
 
@@ -49,7 +49,7 @@
 
     #[test]
     fn any_order_of_events_accounts_for_each_command_once_and_calls_none_written_harmless(steps in steps()) {
-        let mut pipe = Pipe::default();
+        let mut pipe = Pipeline::default();
         // What went over the wire, byte by byte, as the box would see it.
         let (mut wire, mut buffer): (Vec<u32>, Vec<u32>) = (Vec::new(), Vec::new());
         let (mut pushed, mut left, mut answers) = (0, Vec::new(), 0);
@@ -70,28 +70,28 @@
                     pushed += 1;
                 }
                 Step::Write(n, mut bytes) => {
-                    if !pipe.midway() {
+                    if !pipe.has_batch() {
                         buffer.clear();
                         for _ in 0..n {
-                            let Some(job) = pipe.take() else { break };
+                            let Some(job) = pipe.pop_queued() else { break };
                             let bytes = length(job.0);
                             buffer.extend(std::iter::repeat_n(job.0, bytes));
-                            pipe.begin(job, bytes);
+                            pipe.add_to_batch(job, bytes);
                         }
                     }
-                    let (all, written) = pipe.batch();
+                    let (all, written) = pipe.batch_progress();
                     prop_assert_eq!(all, buffer.len());
                     bytes = bytes.min(all - written);
                     wire.extend(&buffer[written..written + bytes]);
                     let mut told = Vec::new();
                     let before = whole(&wire[..wire.len() - bytes]).len();
-                    pipe.wrote(bytes, MS, |job| told.push(job.0));
+                    pipe.record_written(bytes, MS, |job| told.push(job.0));
                     prop_assert_eq!(&told[..], &whole(&wire)[before..]);
-                    buffer.truncate(pipe.unbegin());
+                    buffer.truncate(pipe.requeue_unstarted());
                 }
                 Step::Answer => {
                     let asked = whole(&wire);
-                    let answered = pipe.answered(2 * MS);
+                    let answered = pipe.complete_head(2 * MS);
                     prop_assert_eq!(answered.is_some(), answers < asked.len());
                     if let Some(answered) = answered {
                         let tag = asked[answers];
@@ -105,33 +105,33 @@
                     let there = asked.iter().position(|t| *t == tag);
                     let called = pipe.cancel(tag);
                     match called {
-                        Called::Absent => prop_assert!(tag >= pushed || left.contains(&tag)),
-                        Called::Waiting => prop_assert!(!wire.contains(&tag)),
-                        Called::Midway => prop_assert!(wire.contains(&tag) && there.is_none()),
-                        Called::Written => prop_assert!(there.is_some_and(|at| at >= answers)),
+                        CancelOutcome::NotFound => prop_assert!(tag >= pushed || left.contains(&tag)),
+                        CancelOutcome::Queued => prop_assert!(!wire.contains(&tag)),
+                        CancelOutcome::PartlyWritten => prop_assert!(wire.contains(&tag) && there.is_none()),
+                        CancelOutcome::Written => prop_assert!(there.is_some_and(|at| at >= answers)),
                     }
-                    if called != Called::Absent {
+                    if called != CancelOutcome::NotFound {
                         prop_assert!(!left.contains(&tag));
                         left.push(tag);
                     }
-                    if called == Called::Midway {
+                    if called == CancelOutcome::PartlyWritten {
                         broken = true;
                         break;
                     }
                 }
-                Step::Strand => left.extend(pipe.strand().into_iter().map(|job| {
+                Step::Strand => left.extend(pipe.take_queued().into_iter().map(|job| {
                     assert!(!wire.contains(&job.0), "{} was begun and is moved", job.0);
                     job.0
                 })),
             }
-            let dead = pipe.haunted();
-            prop_assert!(!dead || pipe.sent() > 0);
+            let dead = pipe.has_cancelled_in_flight();
+            prop_assert!(!dead || pipe.in_flight() > 0);
         }
         let asked = whole(&wire);
         let mut order = Vec::new();
-        for (tag, fate) in pipe.ended() {
+        for (tag, fate) in pipe.into_outcomes() {
             // Never harmless what was written whole, never uncertain what was not.
-            prop_assert_eq!(fate == Fate::Uncertain, asked.contains(&tag), "{} is {:?}", tag, fate);
+            prop_assert_eq!(fate == DisconnectOutcome::Unknown, asked.contains(&tag), "{} is {:?}", tag, fate);
             prop_assert!(!left.contains(&tag), "{} leaves twice", tag);
             left.push(tag);
             order.push(tag);
@@ -144,18 +144,18 @@
 
 #[test]
 fn the_age_of_a_head_counts_from_when_it_became_the_first() {
-    let mut pipe = Pipe::default();
+    let mut pipe = Pipeline::default();
     for tag in 0..2 {
         pipe.push(Job(tag));
-        let job = pipe.take().expect("it waits");
-        pipe.begin(job, 1);
-        pipe.wrote(1, u64::from(tag) * MS, |_| ());
+        let job = pipe.pop_queued().expect("it waits");
+        pipe.add_to_batch(job, 1);
+        pipe.record_written(1, u64::from(tag) * MS, |_| ());
     }
     assert_eq!(pipe.head_age(10 * MS), Some(10 * MS));
-    let first = pipe.answered(12 * MS).expect("the first");
-    assert_eq!((first.took, first.as_head, first.behind), (12 * MS, 12 * MS, false));
+    let first = pipe.complete_head(12 * MS).expect("the first");
+    assert_eq!((first.latency, first.head_time, first.pipelined), (12 * MS, 12 * MS, false));
     assert_eq!(pipe.head_age(13 * MS), Some(MS));
-    let second = pipe.answered(15 * MS).expect("the second");
-    assert_eq!((second.took, second.as_head, second.behind), (14 * MS, 3 * MS, true));
+    let second = pipe.complete_head(15 * MS).expect("the second");
+    assert_eq!((second.latency, second.head_time, second.pipelined), (14 * MS, 3 * MS, true));
     assert_eq!(pipe.head_age(15 * MS), None);
 }
--- a/crates/proxy/src/boxes/choose.rs
+++ b/crates/proxy/src/boxes/choose.rs
@@ -4,9 +4,9 @@
 use super::connection::Connection;
 use super::node::Node;
 use super::{Begun, Boxes, Job, News};
-use addresses::Id;
+use addresses::AddressId;
 use calicosaddle::api::{Nanos, ServerId, Status};
-use pipeline::{Ask, Command, Known, Place, Seen};
+use pipeline::{Command, ConnectionState, LatencyContext, Placement, PlacementRequest};
 
 impl Boxes {
     /// Sends an attempt: it will be written at the end of this step of the loop, or when its connection is up.
@@ -45,7 +45,7 @@
     ///
     /// Danger: a write that may have arrived over one address of a node would be another one over the next, should
     /// the node know repeats by where they come in. It goes over the same address or not at all.
-    fn only(&self, node: &Node, job: &Job) -> Option<Id> {
+    fn only(&self, node: &Node, job: &Job) -> Option<AddressId> {
         let gone = job.query.gone_over.borrow();
         let gone = gone.iter().find(|(s, _)| *s == node.entry.server).map(|(_, over)| *over);
         gone.filter(|_| !self.across && node.book.len() > 1)
@@ -61,7 +61,7 @@
             node.connections.len() - held < self.per_node && node.room.allows(node.connections.len(), now);
         let only = self.only(node, job);
         let mut place = self.choose(node, job, only, room, now);
-        if place == Place::New {
+        if place == Placement::New {
             if let (Some(key), new) = self.open(server, only, job, now) {
                 return Some((key, new));
             }
@@ -71,28 +71,41 @@
         place.key().map(|key| (key, None))
     }
 
-    fn known<'a>(&'a self, node: &'a Node) -> Known<'a> {
-        Known { of_box: node.times(), of_all: &self.times }
+    fn known<'a>(&'a self, node: &'a Node) -> LatencyContext<'a> {
+        LatencyContext { this_box: node.times(), all_boxes: &self.times }
     }
 
-    fn choose(&self, node: &Node, job: &Job, only: Option<Id>, room: bool, now: Nanos) -> Place<usize> {
-        let lane = job.lane();
+    fn choose(
+        &self,
+        node: &Node,
+        job: &Job,
+        only: Option<AddressId>,
+        room: bool,
+        now: Nanos,
+    ) -> Placement<usize> {
+        let kind = job.kind();
         let seen = node.connections.iter().filter_map(|key| {
             let c = self.all.get(*key).filter(|c| c.takes(self.fresh, now))?;
             // One that is not up yet may come up over any address.
             let fits = if c.up { node.fits(c, only) } else { only.is_none() };
-            fits.then(|| Seen {
+            fits.then(|| ConnectionState {
                 key: *key,
-                up: c.up,
-                since: if c.up { c.moved } else { c.link.begun },
-                ready: c.ready,
+                connected: c.up,
+                active_since: if c.up { c.moved } else { c.link.begun },
+                writable_at: c.ready,
                 depth: c.depth(),
                 head_age: c.pipe.head_age(now),
-                history: c.pipe.history(),
-                same_lane: c.pipe.is_of(lane),
+                latency: c.pipe.latency(),
+                same_kind: c.pipe.is_uniform(kind),
             })
         });
-        pipeline::place(&Ask { lane, aim: job.aim, room }, seen, self.known(node), &self.pipes, now)
+        pipeline::choose_connection(
+            &PlacementRequest { kind, target_time: job.aim, may_open: room },
+            seen,
+            self.known(node),
+            &self.pipes,
+            now,
+        )
     }
 
     /// Finds other connections for attempts of which no byte was written.
@@ -117,15 +130,15 @@
         let free = |c: &&Connection| c.up && c.depth() == 0 && c.takes(self.fresh, now);
         let Some(c) = self.all.get(key).filter(free) else { return };
         let Some(node) = self.nodes.get(&c.node) else { return };
-        let waits = |k: &&usize| self.all.get(**k).is_some_and(|c| !c.up && c.pipe.waits());
+        let waits = |k: &&usize| self.all.get(**k).is_some_and(|c| !c.up && c.pipe.has_queued());
         let slow = node.connections.iter().filter(waits).min_by_key(|k| self.all[**k].link.begun);
         let Some(slow) = slow.copied() else { return };
         let fits = |job: &Job| node.fits(c, self.only(node, job));
-        if !self.all[slow].pipe.next_up().is_some_and(fits) {
+        if !self.all[slow].pipe.peek_queued().is_some_and(fits) {
             return;
         }
         let server = c.node;
-        let Some(job) = self.all[slow].pipe.take() else { return };
+        let Some(job) = self.all[slow].pipe.pop_queued() else { return };
         let (id, attempt) = job.tag();
         self.put(key, job, now);
         self.moved(server, id, attempt, key, None);
@@ -135,15 +148,15 @@
     pub(super) fn pass_by_stalled(&mut self, now: Nanos) {
         let stalled = |(key, c): (usize, &Connection)| {
             let node = self.nodes.get(&c.node)?;
-            let age = c.pipe.head_age(now).filter(|_| c.up && c.pipe.waits())?;
-            let lane = c.pipe.head_lane()?;
-            let history = c.pipe.history();
-            pipeline::is_stalled(age, history, lane, self.known(node), &self.pipes).then_some(key)
+            let age = c.pipe.head_age(now).filter(|_| c.up && c.pipe.has_queued())?;
+            let kind = c.pipe.head_kind()?;
+            let history = c.pipe.latency();
+            pipeline::is_stalled(age, history, kind, self.known(node), &self.pipes).then_some(key)
         };
         let stalled: Vec<usize> = self.all.iter().filter_map(stalled).collect();
         for key in stalled {
             let Some(c) = self.all.get_mut(key) else { continue };
-            let (server, jobs) = (c.node, c.pipe.strand());
+            let (server, jobs) = (c.node, c.pipe.take_queued());
             self.displace(server, jobs, now);
         }
     }
--- a/crates/proxy/src/boxes/connection.rs
+++ b/crates/proxy/src/boxes/connection.rs
@@ -2,9 +2,9 @@
 
 use super::socket::Dial;
 use crate::request::Query;
-use addresses::Race;
+use addresses::ConnectionRace;
 use calicosaddle::api::{Nanos, RequestId, ServerId};
-use pipeline::{Lane, Pipe};
+use pipeline::{CommandKind, Pipeline};
 use resp::{Greeting, Protocol, ReplyReader};
 use std::rc::Rc;
 
@@ -33,8 +33,8 @@
         (self.id, self.attempt)
     }
 
-    fn lane(&self) -> Lane {
-        Lane { write: self.query.write, long: self.query.value().len() > COPIED }
+    fn kind(&self) -> CommandKind {
+        CommandKind { write: self.query.write, large_value: self.query.value().len() > COPIED }
     }
 }
 
@@ -45,7 +45,7 @@
     pub link: Dial,
     /// Until it is up: another address that is tried beside, and what else could be.
     pub rival: Option<Dial>,
-    pub race: Race,
+    pub race: ConnectionRace,
     /// The node at its other end.
     pub node: ServerId,
     /// Its number among all that there ever were.
@@ -53,7 +53,7 @@
     /// It has come up.
     pub up: bool,
     /// The attempts on it.
-    pub pipe: Pipe<Job>,
+    pub pipe: Pipeline<Job>,
     /// The commands being written, all but a long value at their end.
     pub out: Vec<u8>,
     /// That value stays where it is.
@@ -108,7 +108,7 @@
         if self.up && self.depth() == 0 {
             now.saturating_sub(self.moved) < fresh && !self.unread && !self.midway()
         } else {
-            !self.passing && !self.pipe.haunted()
+            !self.passing && !self.pipe.has_cancelled_in_flight()
         }
     }
 }
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -14,14 +14,16 @@
 use crate::platform::config::Config;
 use crate::platform::discovery::{Names, News as List};
 use crate::turn::Source;
-use addresses::{Address, Id, Race};
+use addresses::{Address, AddressId, ConnectionRace};
 use calicosaddle::api::{Nanos, RequestId, ServerId, State, Status};
 use connection::Connection;
 pub use connection::Job;
 use control::message::{BoxStatus, Pipelines, DEPTHS};
 use mio::{Registry, Token};
 use node::{word, Node};
-use pipeline::{Called, Fate, Limits, Pipe, Placing, Rest, Times};
+use pipeline::{
+    BoxLatencies, CancelOutcome, DisconnectOutcome, Pipeline, PipelineConfig, PlacementPolicy, SettleDelay,
+};
 use resp::{Frame, Item, Kind, Part, Protocol, Reply, ReplyReader, Shape};
 use rests::Rests;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -84,7 +86,7 @@
 ///
 /// # Errors
 /// A line for each key that goes past these: the key, its value and the bound.
-pub fn pipes(told: &operator::Pipeline, config: &Config) -> Result<Limits, String> {
+pub fn pipes(told: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
     let most = config.streams;
     let over = |(key, depth): &(&str, Option<usize>)| {
         let depth = depth.filter(|d| *d > most)?;
@@ -99,27 +101,33 @@
     let depth = [depth(told.reads), depth(told.writes)];
     // Where commands go behind one another anyway, a rest before the first of them guards nothing.
     let rest = told.rest_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
-    Ok(Limits {
-        placing: if told.expected { Placing::Expected } else { Placing::Fixed },
-        depth,
-        apart: told.apart,
+    Ok(PipelineConfig {
+        placement: if told.expected { PlacementPolicy::Expected } else { PlacementPolicy::Fixed },
+        max_depth: depth,
+        separate_kinds: told.apart,
         head_quantile: told.head_quantile,
         handshake_cost: told.handshake_cost,
-        rest: Rest::new(rest),
+        settle_delay: SettleDelay::new(rest),
     })
 }
 
 /// Connects to the next address of a race that can be connected to.
-fn dial(node: &mut Node, race: &mut Race, registry: &Registry, token: Token, now: Nanos) -> Option<Dial> {
-    while let Some(over) = race.begin() {
+fn dial(
+    node: &mut Node,
+    race: &mut ConnectionRace,
+    registry: &Registry,
+    token: Token,
+    now: Nanos,
+) -> Option<Dial> {
+    while let Some(over) = race.start_next() {
         let socket = node.book.address(over).map(Socket::connect);
         if let Some(Ok(mut socket)) = socket {
             if socket.register(registry, token).is_ok() {
                 return Some(Dial { over, socket, begun: now });
             }
         }
-        node.book.failed(over, now);
-        race.failed(over);
+        node.book.connection_failed(over, now);
+        race.attempt_failed(over);
     }
     None
 }
@@ -182,9 +190,9 @@
     hello: Option<Vec<u8>>,
     per_node: usize,
     limit: usize,
-    pipes: Limits,
+    pipes: PipelineConfig,
     /// What all nodes were measured to take.
-    times: Times,
+    times: BoxLatencies,
     told: operator::Pipeline,
     /// Counts of nodes that are forgotten.
     past: Pipelines,
@@ -224,8 +232,8 @@
             hello,
             per_node: 1,
             limit,
-            pipes: Limits::default(),
-            times: Times::NONE,
+            pipes: PipelineConfig::default(),
+            times: BoxLatencies::NONE,
             told: told.pipeline.clone(),
             past: Pipelines::default(),
             dirty: Vec::new(),
@@ -255,9 +263,9 @@
         let share = NODE_CONNECTIONS / config.settings.proxies.max(1) as usize;
         self.per_node = share.clamp(1, MOST_CONNECTIONS);
         // What can't hold with it has been refused before. What was learned of rests is kept.
-        let learned = self.pipes.rest;
+        let learned = self.pipes.settle_delay;
         self.pipes = pipes(&self.told, config).unwrap_or(self.pipes);
-        self.pipes.rest = self.pipes.rest.keeping(learned);
+        self.pipes.settle_delay = self.pipes.settle_delay.with_learned(learned);
         self.stated = (config.idle as f64 * IDLE_PART) as Nanos;
         self.fresh = self.rests.fresh(self.stated);
     }
@@ -421,7 +429,7 @@
             let node = self.nodes.entry(e.server).or_insert_with(new);
             // Idle connections to a place or a process that the node has left serve nobody.
             let told = !host.dials.is_empty() || e.state != State::Gone;
-            let moved = (told && node.book.take(&host.dials, now)) || node.entry.started != e.started;
+            let moved = (told && node.book.update(&host.dials, now)) || node.entry.started != e.started;
             if moved && !host.faults.is_empty() {
                 eprintln!("{}: addresses dropped: {}", host.name, host.faults.join("; "));
             }
@@ -462,7 +470,7 @@
     fn open(
         &mut self,
         server: ServerId,
-        only: Option<Id>,
+        only: Option<AddressId>,
         job: &Job,
         now: Nanos,
     ) -> (Option<usize>, Option<Begun>) {
@@ -472,15 +480,15 @@
         let Some(node) = self.nodes.get_mut(&server) else { return (None, None) };
         let order = match only {
             Some(id) => vec![id],
-            None => node.book.order(now, job.query.write),
+            None => node.book.connection_order(now, job.query.write),
         };
-        let mut race = Race::new(order);
+        let mut race = ConnectionRace::new(order);
         let entry = self.all.vacant_entry();
         let key = entry.key();
         let token = Source::Box(key).token();
         let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
         let left = job.until.saturating_sub(now);
-        let stagger = race.more().then(|| node.book.delay(link.over, left));
+        let stagger = race.can_start_another().then(|| node.book.attempt_delay(link.over, left));
         self.serial += 1;
         node.connections.push(key);
         let greets = self.hello.is_some() && node.greets();
@@ -491,7 +499,7 @@
             node: server,
             serial: self.serial,
             up: false,
-            pipe: Pipe::default(),
+            pipe: Pipeline::default(),
             out: Vec::new(),
             long: None,
             dirty: false,
@@ -540,8 +548,11 @@
         let Some(node) = self.nodes.get(&server) else { return };
         let waits = |k: &&usize| {
             self.all.get(**k).is_some_and(|c| {
-                let delay = node.book.delay(c.link.over, Nanos::MAX);
-                !c.up && c.rival.is_none() && c.race.more() && now.saturating_sub(c.link.begun) >= delay
+                let delay = node.book.attempt_delay(c.link.over, Nanos::MAX);
+                !c.up
+                    && c.rival.is_none()
+                    && c.race.can_start_another()
+                    && now.saturating_sub(c.link.begun) >= delay
             })
         };
         if let Some(key) = node.connections.iter().find(waits).copied() {
@@ -557,8 +568,8 @@
         self.rivals -= usize::from(other.is_some());
         let failed = if rival { other.as_ref().map(|d| d.over) } else { Some(c.link.over) };
         if let Some(id) = failed {
-            node.book.failed(id, now);
-            c.race.failed(id);
+            node.book.connection_failed(id, now);
+            c.race.attempt_failed(id);
         }
         if rival {
             self.begin_rival(key, now);
@@ -598,7 +609,7 @@
         // It had the longer time, and is not up: the next connection goes elsewhere first.
         let slow = std::mem::replace(&mut c.link, rival);
         if let Some(node) = self.nodes.get_mut(&c.node) {
-            node.book.failed(slow.over, now);
+            node.book.connection_failed(slow.over, now);
         }
         true
     }
@@ -623,32 +634,32 @@
         let first = c.pipe.head() == Some(Some((id, attempt)));
         let called = c.pipe.cancel((id, attempt));
         match called {
-            Called::Absent => return false,
-            Called::Waiting => {}
-            Called::Midway => {
+            CancelOutcome::NotFound => return false,
+            CancelOutcome::Queued => {}
+            CancelOutcome::PartlyWritten => {
                 // Danger: to write the rest would send something for a request that is over.
                 self.close(key);
                 self.unheard(server, over, given_up, now);
                 return true;
             }
             // What of a long value is still to come is dropped.
-            Called::Written => c.passing &= !first,
+            CancelOutcome::Written => c.passing &= !first,
         }
-        if c.pipe.deserted() && c.pipe.sent() > 0 {
+        if c.pipe.has_no_waiters() && c.pipe.in_flight() > 0 {
             let node = self.nodes.get_mut(&c.node).filter(|_| c.greeting.is_some());
             node.into_iter().for_each(Node::left_unheard);
             self.close(key);
         }
-        if called == Called::Written {
+        if called == CancelOutcome::Written {
             self.unheard(server, over, given_up, now);
         }
         true
     }
 
     /// Notes that a request was given up over an address; what rests on it is closed if it is silent.
-    fn unheard(&mut self, server: ServerId, over: Id, given_up: GivenUp, now: Nanos) {
+    fn unheard(&mut self, server: ServerId, over: AddressId, given_up: GivenUp, now: Nanos) {
         let Some(node) = self.nodes.get_mut(&server) else { return };
-        if node.book.silent(over, given_up.sent, !given_up.late, now) {
+        if node.book.request_unanswered(over, given_up.sent, !given_up.late, now) {
             self.close_resting(server, |c| c.link.over == over);
         }
     }
@@ -662,7 +673,7 @@
     pub fn connect_timeout(&mut self, key: usize, serial: u64, now: Nanos) {
         let Some(c) = self.all.get(key).filter(|c| c.serial == serial && !c.up) else { return };
         if let Some(node) = self.nodes.get_mut(&c.node) {
-            c.race.running().iter().for_each(|id| node.book.failed(*id, now));
+            c.race.in_progress().iter().for_each(|id| node.book.connection_failed(*id, now));
         }
         self.close(key);
     }
@@ -672,14 +683,16 @@
         let Some(c) = self.all.get(key) else { return };
         if let Some(node) = self.nodes.get_mut(&c.node).filter(|_| !c.used) {
             // It took the connection, and never answered on it.
-            node.book.failed(c.link.over, now);
+            node.book.connection_failed(c.link.over, now);
         }
         if c.greeting.is_some() {
             // Nodes that can't read a greeting may close on it.
             self.nodes.get_mut(&c.node).map(|n| n.greeted(Protocol::Two));
         }
-        let crossed =
-            c.pipe.sent() == 1 && c.reply.is_empty() && !c.midway() && now.saturating_sub(c.moved) < CROSSED;
+        let crossed = c.pipe.in_flight() == 1
+            && c.reply.is_empty()
+            && !c.midway()
+            && now.saturating_sub(c.moved) < CROSSED;
         if crossed && c.rested > 0 {
             self.rests.used(c.rested, true);
             self.fresh = self.rests.fresh(self.stated);
@@ -687,7 +700,7 @@
         if !c.used {
             self.refused(key, now);
             self.close(key);
-        } else if c.pipe.sent() == 0 {
+        } else if c.pipe.in_flight() == 0 {
             // It closed an idle one; what waited for the end of its rest has met nobody yet.
             self.close_and_go_on(key, now);
         } else {
@@ -704,7 +717,7 @@
     fn refused(&mut self, key: usize, now: Nanos) {
         let Some(server) = self.all.get(key).map(|c| c.node) else { return };
         let answering = self.answering(server);
-        self.nodes.get_mut(&server).into_iter().for_each(|n| n.room.refused(answering, now));
+        self.nodes.get_mut(&server).into_iter().for_each(|n| n.room.record_refused(answering, now));
     }
 
     /// Connections to a node that have answered.
@@ -721,13 +734,15 @@
         }
         let passing = c.pipe.head().flatten().filter(|_| c.passing);
         let (mut broke, mut uncertain) = (false, 0);
-        for (tag, fate) in c.pipe.ended() {
+        for (tag, fate) in c.pipe.into_outcomes() {
             broke = true;
-            uncertain += u64::from(fate == Fate::Uncertain);
+            uncertain += u64::from(fate == DisconnectOutcome::Unknown);
             self.news.push_back(match fate {
                 _ if passing == Some(tag) => News::Cut(tag.0),
-                Fate::Uncertain => News::Ended(tag.0, tag.1, status, Reply::default()),
-                Fate::Unwritten => News::Ended(tag.0, tag.1, Status::ConnectFailed, Reply::default()),
+                DisconnectOutcome::Unknown => News::Ended(tag.0, tag.1, status, Reply::default()),
+                DisconnectOutcome::NotWritten => {
+                    News::Ended(tag.0, tag.1, Status::ConnectFailed, Reply::default())
+                }
             });
         }
         if let Some(node) = self.nodes.get_mut(&c.node) {
@@ -755,13 +770,13 @@
                 }
             }
             c.up = true;
-            c.race.won(c.link.over);
+            c.race.attempt_succeeded(c.link.over);
             self.rivals -= usize::from(c.rival.take().is_some());
             let server = c.node;
             if let Some(node) = self.nodes.get_mut(&server) {
-                node.book.up(c.link.over, now.saturating_sub(c.link.begun));
+                node.book.connected(c.link.over, now.saturating_sub(c.link.begun));
                 for times in [node.measured(), &mut self.times] {
-                    times.connected(now.saturating_sub(c.link.begun));
+                    times.record_connect(now.saturating_sub(c.link.begun));
                 }
             }
             self.next_rival(server, now);
@@ -782,7 +797,7 @@
                 }
                 Ok(n) => {
                     (c.heard, c.unread) = (now, false);
-                    if !c.speaks_three() || c.pipe.sent() > 0 {
+                    if !c.speaks_three() || c.pipe.in_flight() > 0 {
                         c.moved = now;
                     }
                     if !self.input(key, &buffer[..n], now) {
@@ -861,15 +876,21 @@
                 }
                 Some(Item::Part(_)) | None => continue,
             };
-            let Some(answered) = c.pipe.answered(now) else { return false };
+            let Some(answered) = c.pipe.complete_head(now) else { return false };
             let bytes = if three { value } else { std::mem::take(&mut c.reply) };
             let passed = std::mem::take(&mut c.passing);
-            (c.answered, c.ready) = (now, if c.depth() == 0 { now + self.pipes.rest.span() } else { now });
+            (c.answered, c.ready) =
+                (now, if c.depth() == 0 { now + self.pipes.settle_delay.duration() } else { now });
             let (server, first) = (c.node, !std::mem::replace(&mut c.used, true));
             if let Some(node) = self.nodes.get_mut(&c.node) {
-                node.book.answered(c.link.over, answered.took, now);
+                node.book.answer_received(c.link.over, answered.latency, now);
                 for times in [node.measured(), &mut self.times] {
-                    times.answered(answered.lane, answered.behind, answered.took, answered.as_head);
+                    times.record_answer(
+                        answered.kind,
+                        answered.pipelined,
+                        answered.latency,
+                        answered.head_time,
+                    );
                 }
             }
             if c.rested > 0 {
@@ -877,13 +898,13 @@
             }
             if first {
                 let answering = self.answering(server);
-                self.nodes.get_mut(&server).into_iter().for_each(|n| n.room.held(answering));
+                self.nodes.get_mut(&server).into_iter().for_each(|n| n.room.record_answering(answering));
             }
             let Some((id, attempt)) = answered.tag else { continue };
             self.news.push_back(match reply.kind {
                 _ if passed => News::Done(id, reply),
                 Kind::Served => {
-                    let took = (!answered.behind).then_some(answered.took);
+                    let took = (!answered.pipelined).then_some(answered.latency);
                     News::Served(id, attempt, reply, bytes, took)
                 }
                 Kind::Busy => News::Ended(id, attempt, Status::Full, reply),
@@ -891,7 +912,7 @@
             });
         }
         // Only attempts that are over are left: closing spares the node their work.
-        self.all.get(key).is_none_or(|c| !c.pipe.deserted() || c.pipe.sent() == 0)
+        self.all.get(key).is_none_or(|c| !c.pipe.has_no_waiters() || c.pipe.in_flight() == 0)
     }
 
     /// Something came on a connection that can't be used any more by that: nobody asked for it, or nobody waits. What is
@@ -899,7 +920,7 @@
     fn surplus(&mut self, key: usize, now: Nanos) {
         let Some(c) = self.all.get(key) else { return };
         if c.pipe.head().is_none() {
-            self.pipes.rest.surplus(now.saturating_sub(c.answered));
+            self.pipes.settle_delay.record_unsolicited(now.saturating_sub(c.answered));
             self.nodes.get_mut(&c.node).into_iter().for_each(|n| n.counts.surplus += 1);
         }
         self.close_and_go_on(key, now);
@@ -908,7 +929,7 @@
     /// Closes a connection; what waits on it, of which no byte is written, goes by another.
     fn close_and_go_on(&mut self, key: usize, now: Nanos) {
         let Some(c) = self.all.get_mut(key) else { return };
-        let (server, jobs) = (c.node, c.pipe.strand());
+        let (server, jobs) = (c.node, c.pipe.take_queued());
         self.close(key);
         self.displace(server, jobs, now);
     }
@@ -1015,7 +1036,7 @@
         let mut boxes = before(&listener, &poll);
         let key = boxes.send(7, job(&sample()), 0).expect("a connection").0;
         let mut node = listener.accept().expect("accepted").0;
-        (boxes.all[key].up, boxes.all[key].pipe) = (true, Pipe::default());
+        (boxes.all[key].up, boxes.all[key].pipe) = (true, Pipeline::default());
         assert_eq!(
             boxes.send(7, job(&sample()), 0).map(|(key, new)| (key, new.is_some())),
             Some((key, false))
@@ -1043,7 +1064,8 @@
         let poll = mio::Poll::new().expect("a poll");
         for surplus in [false, true] {
             let mut boxes = before(&listener, &poll);
-            boxes.pipes = Limits { rest: Rest::new(None), ..Limits::default() };
+            boxes.pipes =
+                PipelineConfig { settle_delay: SettleDelay::new(None), ..PipelineConfig::default() };
             let (key, _) = boxes.send(7, job(&sample()), 0).expect("a connection");
             let mut node = listener.accept().expect("accepted").0;
             let begun = Instant::now();
@@ -1108,7 +1130,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let poll = mio::Poll::new().expect("a poll");
         let mut boxes = before(&listener, &poll);
-        (boxes.per_node, boxes.pipes) = (1, Limits::default());
+        (boxes.per_node, boxes.pipes) = (1, PipelineConfig::default());
         assert!(boxes.send(7, job(&sample()), 0).is_some());
         for attempt in 1..4 {
             assert!(boxes.send(7, Job { attempt, ..job(&sample()) }, 0).is_none());
--- a/crates/proxy/src/boxes/node.rs
+++ b/crates/proxy/src/boxes/node.rs
@@ -1,10 +1,10 @@
 //! A cache node as this proxy knows it.
 
 use super::connection::Connection;
-use addresses::{Book, Id};
+use addresses::{AddressId, AddressTable};
 use calicosaddle::api::{Entry, Nanos, State};
 use control::message::Pipelines;
-use pipeline::{Room, Times};
+use pipeline::{BoxLatencies, ConnectionLimit};
 use resp::Protocol;
 
 /// Greetings that may be left unanswered in a row before a node is taken for one that can't read them.
@@ -30,13 +30,13 @@
     /// Greetings in a row that it said nothing to.
     pub unheard: u8,
     /// Where it is.
-    pub book: Book,
+    pub book: AddressTable,
     /// The connections to it.
     pub connections: Vec<usize>,
     /// What it was measured to take, once there was anything to measure.
-    measured: Option<Box<Times>>,
+    measured: Option<Box<BoxLatencies>>,
     /// How many connections it takes from here.
-    pub room: Room,
+    pub room: ConnectionLimit,
     /// What its connections came to; how deep they are is looked up when it is asked for.
     pub counts: Pipelines,
 }
@@ -44,7 +44,7 @@
 impl Node {
     /// A node that was just told of.
     pub fn new(name: Box<str>, entry: Entry, withdrawn: bool) -> Self {
-        let book = Book::new(entry.server);
+        let book = AddressTable::new(entry.server);
         Node {
             name,
             entry,
@@ -57,18 +57,18 @@
             book,
             connections: Vec::new(),
             measured: None,
-            room: Room::default(),
+            room: ConnectionLimit::default(),
             counts: Pipelines::default(),
         }
     }
 
     /// What it was measured to take.
-    pub fn times(&self) -> &Times {
-        self.measured.as_deref().unwrap_or(&Times::NONE)
+    pub fn times(&self) -> &BoxLatencies {
+        self.measured.as_deref().unwrap_or(&BoxLatencies::NONE)
     }
 
     /// The same, to add to.
-    pub fn measured(&mut self) -> &mut Times {
+    pub fn measured(&mut self) -> &mut BoxLatencies {
         self.measured.get_or_insert_default()
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// May a connection that is up carry something new: over its address, and over this one if only that will do?
-    pub fn fits(&self, c: &Connection, only: Option<Id>) -> bool {
+    pub fn fits(&self, c: &Connection, only: Option<AddressId>) -> bool {
         match only {
             Some(id) => id == c.link.over && self.book.address(id).is_some(),
             None => self.book.usable(c.link.over),
--- a/crates/proxy/src/boxes/socket.rs
+++ b/crates/proxy/src/boxes/socket.rs
@@ -1,6 +1,6 @@
 //! A connection's socket, whatever its family.
 
-use addresses::{Address, Id};
+use addresses::{Address, AddressId};
 use calicosaddle::api::Nanos;
 use mio::event::Source;
 use mio::net::{TcpStream, UnixStream};
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Dial {
     /// The address.
-    pub over: Id,
+    pub over: AddressId,
     /// The socket.
     pub socket: Socket,
     /// When it was begun.
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -43,7 +43,7 @@
             // Another connection has come to this place since, or it was written to.
             return;
         }
-        if c.pipe.sent() > 0 || c.pipe.midway() || !c.pipe.waits() || c.link.socket.is_quiet() {
+        if c.pipe.in_flight() > 0 || c.pipe.has_batch() || !c.pipe.has_queued() || c.link.socket.is_quiet() {
             self.flush(key, now);
             return;
         }
@@ -51,7 +51,7 @@
             self.close_and_go_on(key, now);
             return;
         }
-        let (server, mut jobs) = (c.node, c.pipe.strand());
+        let (server, mut jobs) = (c.node, c.pipe.take_queued());
         self.read(key, false, &mut [0; 4 << 10], now);
         if let Some(c) = self.all.get_mut(key) {
             c.unread = !c.link.socket.is_quiet();
@@ -65,14 +65,14 @@
 
     /// Writes what the socket takes.
     pub(super) fn flush(&mut self, key: usize, now: Nanos) {
-        while let Some(c) = self.all.get_mut(key).filter(|c| c.ready <= now || c.pipe.midway()) {
-            if !c.pipe.midway() && !self.fill(key, now) {
+        while let Some(c) = self.all.get_mut(key).filter(|c| c.ready <= now || c.pipe.has_batch()) {
+            if !c.pipe.has_batch() && !self.fill(key, now) {
                 return;
             }
             let Some(c) = self.all.get_mut(key) else { return };
             let value = c.long.as_ref().map_or(&[][..], |query| query.value());
             let end = if c.long.is_some() { &b"\r\n"[..] } else { &[] };
-            let mut skip = c.pipe.batch().1;
+            let mut skip = c.pipe.batch_progress().1;
             let parts = [&c.out[..], value, end].map(|part| {
                 let n = skip.min(part.len());
                 skip -= n;
@@ -89,13 +89,13 @@
                         node.counts.writes += 1;
                     }
                     let (place, written) = ((c.node, c.link.over), &mut self.written);
-                    c.pipe.wrote(n, now, |job| {
+                    c.pipe.record_written(n, now, |job| {
                         *written += 1;
                         if job.query.write {
                             job.query.gone_over.borrow_mut().push(place);
                         }
                     });
-                    if !c.pipe.midway() {
+                    if !c.pipe.has_batch() {
                         c.long = None;
                         c.out.clear();
                         c.out.shrink_to(KEPT);
@@ -103,7 +103,7 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     // What is not begun is looked at again when there is room.
-                    let left = c.pipe.unbegin();
+                    let left = c.pipe.requeue_unstarted();
                     if left <= c.out.len() {
                         c.out.truncate(left);
                         c.long = None;
@@ -124,7 +124,7 @@
         let Some(c) = self.all.get_mut(key) else { return false };
         c.out.clear();
         while (c.out.is_empty() || c.out.len() < self.told.batch_bytes) && c.long.is_none() {
-            let Some(job) = c.pipe.take() else { break };
+            let Some(job) = c.pipe.pop_queued() else { break };
             let node = self.nodes.get_mut(&c.node);
             let ready = node.as_ref().is_some_and(|n| n.takes());
             let listed = node.as_ref().is_some_and(|n| n.book.address(c.link.over).is_some());
@@ -134,9 +134,9 @@
                 self.news.push_back(News::Ended(job.id, job.attempt, status, Reply::default()));
                 continue;
             }
-            if !c.pipe.midway() {
+            if !c.pipe.has_batch() {
                 // A connection that has just come up has not been idle.
-                c.rested = if c.used && c.pipe.sent() == 0 { now.saturating_sub(c.moved) } else { 0 };
+                c.rested = if c.used && c.pipe.in_flight() == 0 { now.saturating_sub(c.moved) } else { 0 };
             }
             let before = c.out.len();
             if std::mem::take(&mut c.greets) {
@@ -145,19 +145,19 @@
                 c.greeting = Some(Greeting::default());
             }
             job.query.encode(((job.until - now) / MS).max(1), &mut c.out);
-            let long = pipeline::Command::lane(&job).long;
+            let long = pipeline::Command::kind(&job).large_value;
             if job.query.write && !long {
                 c.out.extend_from_slice(job.query.value());
                 c.out.extend_from_slice(b"\r\n");
             }
             let rest = if long { job.query.value().len() + 2 } else { 0 };
             c.long = long.then(|| job.query.clone());
-            c.pipe.begin(job, c.out.len() - before + rest);
+            c.pipe.add_to_batch(job, c.out.len() - before + rest);
             if let Some(node) = node {
                 node.sent += 1;
                 node.sent_leaving += u64::from(node.leaving.is_some());
             }
         }
-        c.pipe.midway()
+        c.pipe.has_batch()
     }
 }
--- a/crates/proxy/src/platform/discovery.rs
+++ b/crates/proxy/src/platform/discovery.rs
@@ -7,7 +7,7 @@
 use super::config::Config;
 use addresses::Address;
 use calicosaddle::api::{server_id, Entry, Nanos, State};
-use freshness::{Follower, Terms};
+use freshness::{PollConfig, PollScheduler};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use serde_json::Value;
@@ -119,7 +119,7 @@
     // Beside `dial`, which is enough, an entry may carry `dials`, an ordered list that is taken instead. One in
     // which nothing can be used is a box without a connection; the list it stands in holds.
     let (dials, faults) = match json["dials"].as_array() {
-        Some(all) => addresses::read(all.iter().map(|d| d.as_str().unwrap_or_default())),
+        Some(all) => addresses::parse_list(all.iter().map(|d| d.as_str().unwrap_or_default())),
         None => {
             let dial: Option<SocketAddr> = json["dial"].as_str().and_then(|d| d.parse().ok());
             if dial.is_none() && state != State::Gone {
@@ -193,7 +193,7 @@
 pub struct Discovery {
     address: SocketAddr,
     names: Names,
-    follower: Follower,
+    follower: PollScheduler,
     version: Option<u64>,
     /// When discovery answered last.
     heard: Option<Nanos>,
@@ -213,7 +213,7 @@
         Discovery {
             address: config.discovery,
             names: config.names.clone(),
-            follower: Follower::new(Terms::from(&config.settings), config.seed, now),
+            follower: PollScheduler::new(PollConfig::from(&config.settings), config.seed, now),
             version,
             heard: None,
             older: 0,
@@ -229,11 +229,11 @@
     pub fn moved(&mut self, address: SocketAddr, now: Nanos) {
         (self.address, self.version, self.older, self.latest) = (address, None, 0, None);
         self.silent.clear();
-        self.follower.moved(now);
+        self.follower.discovery_moved(now);
     }
 
     /// Other settings hold from now on.
-    pub fn configure(&mut self, terms: Terms) {
+    pub fn configure(&mut self, terms: PollConfig) {
         self.follower.configure(terms);
     }
 
@@ -244,12 +244,12 @@
 
     /// When a call is to begin.
     pub fn due(&self) -> Nanos {
-        self.follower.next()
+        self.follower.next_wakeup()
     }
 
     /// Begins the call that is due. The one that was out is given up, and listened to all the same.
     pub fn run(&mut self, registry: &Registry, now: Nanos) -> Option<Answer> {
-        if !self.follower.due(now) {
+        if !self.follower.start_if_due(now) {
             return None;
         }
         self.begin(registry, None, now).err().map(Answer::Failed)
@@ -260,7 +260,7 @@
         // Danger: with the first of them given up, a discovery that takes its time would never be heard.
         self.silent.extend(self.latest.take().filter(|_| self.silent.len() + 2 <= CALLS));
         let begun = self.call(registry, wait, now);
-        self.latest = Some(begun.inspect_err(|_| self.follower.failed(now))?);
+        self.latest = Some(begun.inspect_err(|_| self.follower.poll_failed(now))?);
         Ok(())
     }
 
@@ -304,7 +304,7 @@
             match told.and_then(|n| self.in_order(n)) {
                 Ok(news) => (news, waited),
                 Err(e) => {
-                    self.follower.failed(now);
+                    self.follower.poll_failed(now);
                     return Some(Answer::Failed(e));
                 }
             }
@@ -318,7 +318,7 @@
         };
         let newer = self.version != Some(news.version);
         (self.version, self.heard) = (Some(news.version), Some(now));
-        if let Some(wait) = self.follower.answered(now, latest) {
+        if let Some(wait) = self.follower.list_received(now, latest) {
             // Danger: a call more than 200 ms after the last answer begins a new watch.
             // The list that was told holds all the same if it can't begin.
             let _ = self.begin(registry, Some(wait), now).inspect_err(|e| eprintln!("discovery: {e}"));
@@ -346,7 +346,7 @@
     pub fn sweep(&mut self, registry: &Registry, now: Nanos) -> Option<Answer> {
         self.silent.retain(|c| !c.is_over(now));
         if self.latest.as_ref().is_some_and(|c| c.has_stopped(now)) {
-            self.follower.anew(now);
+            self.follower.start_replacement(now);
             return self.begin(registry, None, now).err().map(Answer::Failed);
         }
         None
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -40,7 +40,7 @@
     /// The client's repeat, where marked.
     pub repeat: bool,
     /// A write: over which addresses of which boxes its last byte went out, and may have arrived.
-    pub gone_over: RefCell<Vec<(ServerId, addresses::Id)>>,
+    pub gone_over: RefCell<Vec<(ServerId, addresses::AddressId)>>,
 }
 
 impl Query {
