--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays the bench's wire on standard input and output: one decision module for each instance, nothing shared.
 
-use calicosaddle::api::{Action, Entry, Event, ListKind, Nanos, ServerId};
-use calicosaddle::Brain;
+use calicosaddle::api::{Action, Event, ListKind, Nanos, ServerEntry, ServerId};
+use calicosaddle::Balancer;
 use freshness::Stream;
 use rustc_hash::FxHashMap;
 use std::io::{self, BufRead, Write};
@@ -11,9 +11,9 @@
 #[derive(Default)]
 struct Adapter {
     now: Nanos,
-    instances: FxHashMap<String, (Brain, Stream)>,
+    instances: FxHashMap<String, (Balancer, Stream)>,
     names: FxHashMap<ServerId, String>,
-    pages: Vec<Vec<Entry>>,
+    pages: Vec<Vec<ServerEntry>>,
     filling: Option<(usize, usize)>,
     actions: Vec<Action>,
     reply: String,
@@ -49,14 +49,14 @@
             Line::Entry(..) => return Err("entry without a list".into()),
             Line::New { instance, seed, settings } => {
                 let stream = Stream::new(&settings, seed);
-                self.instances.insert(instance, (Brain::new(*settings, seed), stream));
+                self.instances.insert(instance, (Balancer::new(*settings, seed), stream));
             }
             Line::Members { instance, kind, page } => {
                 let entries = match kind {
                     ListKind::Failed => Vec::new(),
                     _ => self.pages.get(page).cloned().ok_or(format!("list {page} was never sent"))?,
                 };
-                self.event(instance, Event::List { kind, entries });
+                self.event(instance, Event::ServerList { kind, entries });
             }
             Line::Stop(instance) => {
                 self.instances.remove(&instance);
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -62,7 +62,16 @@
     let line = "report_back proxy_3 2526988522394052 1 node_abuevth done 18500000 1 2 3.5,-";
     let Ok(Line::Event(
         instance,
-        Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load }),
+        Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            elapsed,
+            request_complete: last,
+            hit,
+            load_report: load,
+        }),
     )) = wire::parse(line)
     else {
         panic!("not an outcome")
@@ -76,7 +85,7 @@
         panic!("not an arrival")
     };
     assert_eq!((r.class, r.tenant, r.key), (1, None, Some(0x91f0_3b7c_55d2_0a64)));
-    assert_eq!((r.remaining, r.hint, r.repeat, r.write), (0, Some(12_000_000), true, true));
+    assert_eq!((r.remaining, r.expected_work, r.is_retry, r.write), (0, Some(12_000_000), true, true));
 }
 
 #[test]
@@ -88,7 +97,7 @@
         Action::Refuse { id: 2, retry_after: 5 },
         Action::Fail { id: 3 },
         Action::Timer { token: 4, delay: 6 },
-        Action::Close(server_id("node_a")),
+        Action::CloseIdle(server_id("node_a")),
         Action::Probe(server_id("node_a")),
         Action::Subscribe,
     ];
--- a/crates/calicosaddle/src/api.rs
+++ b/crates/calicosaddle/src/api.rs
@@ -1,6 +1,6 @@
 //! Types between a proxy and the decision module: settings handed over at start, events in, actions out.
 //!
-//! All times are nanoseconds. The caller owns clock, sockets and timers; [`crate::Brain`] owns none of them.
+//! All times are nanoseconds. The caller owns clock, sockets and timers; [`crate::Balancer`] owns none of them.
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
@@ -20,7 +20,7 @@
 
 /// May a request of a class run again?
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Repeats do no harm.
     #[default]
     Safe,
@@ -32,7 +32,7 @@
 
 /// Which servers remember a keyed request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All servers.
     #[default]
     All,
@@ -46,19 +46,19 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// Full worth is earned up to here.
-    pub aim: Nanos,
+    pub latency_target: Nanos,
     /// The client gives up here, counted over all its tries.
     pub deadline: Nanos,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// For keyed classes: who drops repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For keyed classes: for how long repeats are dropped.
     pub dedup_window: Nanos,
     /// Part of the worth that a late answer earns.
     pub late_value: f64,
     /// Worth of a request (or of a unit of its work).
-    pub worth: f64,
+    pub value: f64,
     /// The answer is streamed.
     pub stream: bool,
 }
@@ -80,27 +80,27 @@
     /// This proxy's zone.
     pub zone: u32,
     /// How many proxies there are.
-    pub proxies: u32,
+    pub proxy_count: u32,
     /// This proxy's number.
-    pub me: u32,
+    pub proxy_index: u32,
     /// The list of servers must be asked for (else it is pushed).
-    pub must_ask: bool,
+    pub poll_discovery: bool,
     /// A miss is answered as such and the origin, a kind of its own, is asked by the proxy.
-    pub aside: bool,
-    /// The machine kind of the origin where `aside`.
+    pub cache_aside: bool,
+    /// The machine kind of the origin where `cache_aside`.
     pub origin_kind: Option<u32>,
     /// Worth of a request over its tenant's share, as a part of its class's.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// Worth counts by work (else by request).
-    pub worth_by_work: bool,
+    pub value_per_work: bool,
     /// Most attempts for a request (0: one).
     pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub allow_cancel: bool,
     /// Servers may be probed.
-    pub probe: bool,
+    pub allow_probe: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Refusals may advise a wait, at most this long (0: no advice).
     pub max_retry_after: Nanos,
     /// A connection that takes longer is refused.
@@ -116,28 +116,28 @@
     /// Price of new connections: one for each request.
     pub handshake_price: f64,
     /// Part of its capacity that a server starts with.
-    pub cold_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// A server is warm after this long.
-    pub cold: Nanos,
+    pub slow_start_duration: Nanos,
     /// A cold server falls when sent more than this multiple of its capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// For this long.
-    pub fall: Nanos,
+    pub overload_duration: Nanos,
     /// The origin stops when sent this multiple of its capacity (0: no such limit).
-    pub origin_fall_multiple: f64,
+    pub origin_overload_multiple: f64,
     /// For this long.
-    pub origin_fall: Nanos,
+    pub origin_overload_duration: Nanos,
     /// Nothing new goes to a draining server after this long.
     pub drain_grace: Nanos,
     /// Without a subscription the list must be asked for within this time.
-    pub must_ask_in: Nanos,
+    pub discovery_poll_interval: Nanos,
     /// The columns of load reports.
-    pub report: Vec<Report>,
+    pub load_report_columns: Vec<LoadColumn>,
 }
 
 /// A column of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Report {
+pub enum LoadColumn {
     /// Requests waiting.
     Queue,
     /// Requests held.
@@ -152,19 +152,19 @@
 
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// Takes work.
     #[default]
     Ready,
     /// Finishes its work; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the list of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Which server.
     pub server: ServerId,
     /// Its zone.
@@ -174,11 +174,11 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub state: State,
+    pub state: ServerState,
     /// Size relative to others.
     pub weight: f64,
     /// Time of its last start; 0: long ago.
-    pub started: Nanos,
+    pub started_at: Nanos,
 }
 
 /// What a list event carries.
@@ -202,7 +202,7 @@
     /// The server returned an error; it may have run.
     Error,
     /// Turned away unseen; never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may run.
     Timeout,
     /// No connection; never ran.
@@ -210,28 +210,28 @@
     /// The connection broke; it may have run.
     Reset,
     /// The answer came and can't be read; it may have run.
-    Spoilt,
+    Malformed,
     /// Called off; it may have run.
     Cancelled,
     /// Not sent; never ran.
-    Moot,
+    NotSent,
     /// No value for the key (aside); never ran.
     Miss,
 }
 
 impl Status {
     /// True if the outcome says something of the server.
-    pub fn tells(self) -> bool {
-        !matches!(self, Status::Cancelled | Status::Moot)
+    pub fn reflects_server(self) -> bool {
+        !matches!(self, Status::Cancelled | Status::NotSent)
     }
 
     /// What an attempt is called for which there was no connection.
     ///
     /// Danger: where this proxy has connections to the server, that all of them are in use is no fault of the server's.
     /// Told as such, the server, and with a few of them its zone, would be left alone for as long as one that is down.
-    pub fn unplaced(connected: bool) -> Status {
+    pub fn without_connection(connected: bool) -> Status {
         if connected {
-            Status::Moot
+            Status::NotSent
         } else {
             Status::ConnectFailed
         }
@@ -239,7 +239,7 @@
 
     /// True if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss)
+        matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss)
     }
 }
 
@@ -257,9 +257,9 @@
     /// Time left before the client gives up this try.
     pub remaining: Nanos,
     /// Expected work, where known.
-    pub hint: Option<Nanos>,
+    pub expected_work: Option<Nanos>,
     /// Client's repeat, where marked.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// It writes.
     pub write: bool,
 }
@@ -278,26 +278,26 @@
     /// Time from the send.
     pub elapsed: Nanos,
     /// The request is over.
-    pub last: bool,
+    pub request_complete: bool,
     /// Hit or miss, where told.
     pub hit: Option<bool>,
-    /// Load report, in the order of [`Settings::report`].
-    pub load: Vec<f64>,
+    /// Load report, in the order of [`Settings::load_report_columns`].
+    pub load_report: Vec<f64>,
 }
 
 /// What happens at the proxy.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the servers.
-    List {
+    ServerList {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// These servers are to get nothing new, whatever lists say of them: all that operators withdrew, also those
     /// that no list names yet.
-    Withdrawn(Vec<ServerId>),
+    OperatorDrained(Vec<ServerId>),
     /// Other settings hold from now on. The classes are the same by number, name and effect, and the zone, this
     /// proxy's number and the place of the origin stay.
     Settings(Box<Settings>),
@@ -314,14 +314,14 @@
         /// Time from the send.
         elapsed: Nanos,
         /// Load report.
-        load: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// A timer ran out.
     Timer(u64),
     /// The client left; nothing more is owed.
-    Expired(RequestId),
+    Abandoned(RequestId),
     /// A streamed answer began.
-    First(RequestId),
+    StreamStarted(RequestId),
 }
 
 /// What the proxy is to do, in order.
@@ -365,7 +365,7 @@
     /// Test a server.
     Probe(ServerId),
     /// Close idle connections to a server.
-    Close(ServerId),
+    CloseIdle(ServerId),
     /// Follow the list. The module never asks for it: crate `freshness` does, beside it.
     Subscribe,
 }
--- a/crates/calicosaddle/src/brain.rs
+++ b/crates/calicosaddle/src/balancer.rs
@@ -92,7 +92,7 @@
 
 #[derive(Default)]
 struct Server {
-    entry: Entry,
+    entry: ServerEntry,
     /// An operator wants nothing new to go to it.
     withdrawn: bool,
     /// It is in the subset.
@@ -189,7 +189,7 @@
 
 /// The decision module of one proxy.
 #[derive(Default)]
-pub struct Brain {
+pub struct Balancer {
     settings: Settings,
     random: u64,
     // discovery
@@ -226,21 +226,21 @@
     valves: [Valve; 2],
 }
 
-impl Brain {
+impl Balancer {
     /// A module with nothing learned; `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let seen = vec![Seen::default(); settings.classes.len()];
         let valve = Valve { taken: 1.0, ceiling: 1.0, ..Valve::default() };
-        let start = Brain { valves: [valve; 2], budget: 1.0, ..Brain::default() };
-        Brain { settings, seen, random: seed, ..start }
+        let start = Balancer { valves: [valve; 2], budget: 1.0, ..Balancer::default() };
+        Balancer { settings, seen, random: seed, ..start }
     }
 
     /// Takes one event and appends the actions it calls for.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.started.get_or_insert(now);
         match event {
-            Event::List { kind, entries } => self.list(now, kind, entries),
-            Event::Withdrawn(servers) => self.withdraw(servers),
+            Event::ServerList { kind, entries } => self.list(now, kind, entries),
+            Event::OperatorDrained(servers) => self.withdraw(servers),
             Event::Settings(settings) => {
                 self.settings = *settings;
                 self.recount();
@@ -254,11 +254,11 @@
             Event::Probed { .. } | Event::Timer(_) => {}
             // A client that left while its answer could still be in time says nothing of the servers.
             // Danger: where many leave early, or all at once, that would pass for a jam.
-            Event::Expired(id) => {
+            Event::Abandoned(id) => {
                 let left = self.open.remove(&id).filter(|o| o.aim_at.min(o.deadline) <= now);
                 left.iter().for_each(|o| self.ended(o, 0.0));
             }
-            Event::First(id) => self.open.get_mut(&id).into_iter().for_each(|o| o.streaming = true),
+            Event::StreamStarted(id) => self.open.get_mut(&id).into_iter().for_each(|o| o.streaming = true),
         }
     }
 
@@ -269,7 +269,7 @@
 
     // ---- discovery ----
 
-    fn list(&mut self, now: Nanos, kind: ListKind, entries: Vec<Entry>) {
+    fn list(&mut self, now: Nanos, kind: ListKind, entries: Vec<ServerEntry>) {
         if kind == ListKind::Failed {
             return;
         }
@@ -280,7 +280,7 @@
             gone.into_iter().for_each(|s| self.remove(s));
         }
         for entry in entries {
-            if entry.state == State::Gone {
+            if entry.state == ServerState::Removed {
                 self.remove(entry.server);
             } else {
                 self.upsert(now, entry);
@@ -298,11 +298,11 @@
         let weight =
             |all: &[u32]| -> f64 { all.iter().map(|i| 1.0 / self.servers[*i as usize].inverse_weight).sum() };
         (self.total_weight, self.live) = (weight(&subset), subset.len() as f64);
-        let proxies = f64::from(self.settings.proxies.max(1));
+        let proxies = f64::from(self.settings.proxy_count.max(1));
         let part = (TABLE * TABLE / proxies).max(FEW) / proxies;
         let wanted = ((part * self.live).ceil() as usize).max(LEAST_SUBSET);
         if wanted < subset.len() {
-            let salt = mix(u64::from(self.settings.me) ^ 0x0a0e_0a0e);
+            let salt = mix(u64::from(self.settings.proxy_index) ^ 0x0a0e_0a0e);
             let place = |i: u32| {
                 let e = &self.servers[i as usize].entry;
                 drawn(salt, e.server) * if e.zone == self.settings.zone { 1.0 } else { FAR }
@@ -326,7 +326,7 @@
     }
 
     fn takes(s: &Server) -> bool {
-        s.entry.state == State::Ready && !s.withdrawn
+        s.entry.state == ServerState::Ready && !s.withdrawn
     }
 
     fn ranks(&self, s: &Server) -> bool {
@@ -335,27 +335,27 @@
 
     /// The origin of an aside deployment is never a candidate: only misses and writes go there.
     fn is_origin(&self, s: &Server) -> bool {
-        self.settings.aside && Some(s.entry.kind) == self.settings.origin_kind
+        self.settings.cache_aside && Some(s.entry.kind) == self.settings.origin_kind
     }
 
     fn remove(&mut self, server: ServerId) {
         if let Some(i) = self.by_id.remove(&server) {
             self.inflight -= self.servers[i as usize].inflight;
             self.servers[i as usize].inflight = 0.0;
-            self.servers[i as usize].entry.state = State::Gone;
+            self.servers[i as usize].entry.state = ServerState::Removed;
             self.free.push(i);
         }
     }
 
-    fn upsert(&mut self, now: Nanos, entry: Entry) {
+    fn upsert(&mut self, now: Nanos, entry: ServerEntry) {
         let weight = if entry.weight.is_finite() { entry.weight.clamp(1e-6, 1e9) } else { 1.0 };
         let inverse_weight = 1.0 / weight;
         if let Some(&i) = self.by_id.get(&entry.server) {
             let s = &mut self.servers[i as usize];
-            if s.entry.started != entry.started {
+            if s.entry.started_at != entry.started_at {
                 // A changed start means a new process: no cache, no history of failures.
                 (s.fails, s.suspect_until, s.backoff, s.trial) = (0, 0, 0, false);
-                (s.tokens, s.tokens_at) = (unit(mix(self.random ^ entry.started)), now);
+                (s.tokens, s.tokens_at) = (unit(mix(self.random ^ entry.started_at)), now);
                 (s.strain, s.share, s.pace) = (self.strain, 1.0, 0.0);
             }
             (s.inverse_weight, s.entry) = (inverse_weight, entry);
@@ -463,8 +463,8 @@
     }
 
     /// How many listed servers get nothing new now.
-    pub fn avoided(&self, now: Nanos) -> usize {
-        let listed = |s: &&Server| s.entry.state != State::Gone && !self.is_origin(s);
+    pub fn unavailable_servers(&self, now: Nanos) -> usize {
+        let listed = |s: &&Server| s.entry.state != ServerState::Removed && !self.is_origin(s);
         self.servers.iter().filter(listed).filter(|s| !self.usable(now, s)).count()
     }
 
@@ -524,11 +524,11 @@
 
     /// The part of its capacity that a server surely has by now.
     fn warmth(&self, now: Nanos, s: &Server) -> f64 {
-        if s.entry.started == 0 || self.settings.cold == 0 {
+        if s.entry.started_at == 0 || self.settings.slow_start_duration == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(s.entry.started) as f64 / self.settings.cold as f64;
-        let from = self.settings.cold_from.clamp(0.0, 1.0);
+        let age = now.saturating_sub(s.entry.started_at) as f64 / self.settings.slow_start_duration as f64;
+        let from = self.settings.slow_start_initial_fraction.clamp(0.0, 1.0);
         (from + (1.0 - from) * age).min(1.0)
     }
 
@@ -564,8 +564,8 @@
         }
         let part = 1.0 / s.inverse_weight / self.subset_weight.max(1e-9);
         let mine = self.rate(now).min(self.served / SHED_S + 1.0);
-        let rate = 0.4 * self.settings.fall_multiple * warmth * part * mine;
-        let window = self.settings.fall as f64 / SECOND as f64;
+        let rate = 0.4 * self.settings.overload_multiple * warmth * part * mine;
+        let window = self.settings.overload_duration as f64 / SECOND as f64;
         let s = &mut self.servers[i as usize];
         let passed = now.saturating_sub(s.tokens_at) as f64 / SECOND as f64;
         s.tokens = (s.tokens + passed * rate).min((rate * window).max(1.0));
@@ -606,7 +606,7 @@
         let mut order = self.candidates(now, b);
         self.turn(b, &mut order);
         let bucket = self.buckets.get(&b)?;
-        let turn = bucket.turn.wrapping_add(self.settings.me) as usize;
+        let turn = bucket.turn.wrapping_add(self.settings.proxy_index) as usize;
         for &i in &bucket.ranked {
             if !order.contains(&i) && self.admitted(now, b, &self.servers[i as usize]) {
                 order.push(i);
@@ -653,17 +653,17 @@
     fn in_group(&self, now: Nanos, open: &Open, s: &Server) -> bool {
         let Some(class) = self.settings.classes.get(open.class) else { return true };
         let mut ran = open.attempts.iter().filter(|a| a.pending || a.may_have_run);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed => ran.all(|a| {
+        match class.retry_safety {
+            RetrySafety::Safe => true,
+            RetrySafety::Unsafe => ran.next().is_none(),
+            RetrySafety::Keyed => ran.all(|a| {
                 // The margin covers the way to the server.
                 let fresh = now + 100 * MS < a.sent + class.dedup_window;
                 fresh
-                    && match class.group {
-                        Group::All => true,
-                        Group::Zone => a.zone == s.entry.zone,
-                        Group::Cell => a.cell == s.entry.cell && a.zone == s.entry.zone,
+                    && match class.dedup_scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => a.zone == s.entry.zone,
+                        DedupScope::Cell => a.cell == s.entry.cell && a.zone == s.entry.zone,
                     }
             }),
         }
@@ -676,7 +676,7 @@
         let rate = self.rate(now).max(1e-3);
         let pause = self.subset_weight * s.inverse_weight / rate;
         let (idle, new) = (self.settings.connection_price, self.settings.handshake_price);
-        let all = rate * f64::from(self.settings.proxies.max(1));
+        let all = rate * f64::from(self.settings.proxy_count.max(1));
         let dear = idle > 0.0 && pause * idle / (100.0 * self.live.max(1.0)) > new / all;
         // A subset is small enough to keep. Danger: closed for what one lost zone refuses, its connections would
         // all be opened anew, by all proxies.
@@ -712,7 +712,7 @@
         let more = tries < self.settings.max_attempts;
         let seen = self.seen.get(open.class).cloned().unwrap_or_default();
         let class = self.settings.classes.get(open.class);
-        let safe = class.is_some_and(|c| c.effect != Effect::Unsafe && !c.stream) && !at_origin;
+        let safe = class.is_some_and(|c| c.retry_safety != RetrySafety::Unsafe && !c.stream) && !at_origin;
         let left = open.aim_at.min(open.deadline).saturating_sub(now) as f64;
         let patience = if seen.count < 5.0 {
             left * 0.5
@@ -721,7 +721,7 @@
         };
         let mut timeout = 0;
         if safe && more && patience + seen.mean < left {
-            if self.settings.second_copies {
+            if self.settings.hedging {
                 actions.push(Action::Timer { token: HEDGE | id, delay: patience as Nanos });
             } else {
                 timeout = patience as Nanos;
@@ -737,10 +737,10 @@
         self.budget = (self.budget + BUDGET).min(10.0);
         let class = self.settings.classes.get(r.class as usize).cloned().unwrap_or_default();
         // Most tries are first ones and given alike long; any other time left dates the request's beginning.
-        let mut aim = class.aim.min(r.remaining);
+        let mut aim = class.latency_target.min(r.remaining);
         let mut scale = 1.0;
         if let Some(seen) = self.seen.get_mut(r.class as usize) {
-            if let Some(hint) = r.hint.filter(|h| *h > 0) {
+            if let Some(hint) = r.expected_work.filter(|h| *h > 0) {
                 let first = if seen.hint > 0.0 { 0.03 } else { 1.0 };
                 seen.hint += first * (hint as f64 - seen.hint);
                 scale = (hint as f64 / seen.hint).clamp(1.0, 10.0);
@@ -752,13 +752,14 @@
                 seen.common_left = r.remaining;
             } else {
                 seen.votes -= 1;
-                aim = aim.min(class.aim.saturating_sub(class.deadline.saturating_sub(r.remaining)));
+                aim =
+                    aim.min(class.latency_target.saturating_sub(class.deadline.saturating_sub(r.remaining)));
             }
         }
         // Guards against shedding for clients' sake: one that gives a try less time than its class's aim runs out
         // of it at healthy servers too. It should also catch retries that come late. Danger: where no try has
         // that time, nothing is ever shed.
-        let telling = r.remaining >= class.aim / 4 * 3;
+        let telling = r.remaining >= class.latency_target / 4 * 3;
         let hopeless = class.late_value <= 0.0 && (aim as f64) < 0.5 * self.usual(r.class as usize).mean;
         let bucket = r.key.map(|k| (mix(k) % BUCKETS) as u32);
         // Danger: where misses jam the origin, hits go on and would hide it, or be refused with the misses:
@@ -766,7 +767,7 @@
         let hits = |b: &Bucket| b.pin.is_some() || b.windows.iter().any(|w| w.outcomes & 1 == 1);
         let proven = bucket.and_then(|b| self.buckets.get(&b)).is_some_and(hits);
         // Where the proxy itself asks the origin, a request counts as a hit until it has missed.
-        let proven = if self.settings.aside { !r.write } else { proven };
+        let proven = if self.settings.cache_aside { !r.write } else { proven };
         let open = Open {
             class: r.class as usize,
             bucket,
@@ -791,7 +792,7 @@
             self.rank(b);
             spread = self.counted(now, b);
         }
-        let target = if self.settings.aside && r.write {
+        let target = if self.settings.cache_aside && r.write {
             self.origin(now, &open)
         } else {
             self.choose(now, &open, spread)
@@ -814,17 +815,17 @@
         if let Some(&i) = self.by_id.get(&server) {
             let s = &mut self.servers[i as usize];
             match status {
-                Status::Full => s.limit = (LESS * s.limit.min(s.inflight)).max(1.0),
+                Status::Rejected => s.limit = (LESS * s.limit.min(s.inflight)).max(1.0),
                 Status::Ok => s.limit = (s.limit + MORE).min(MOST),
                 // What was not sent took nothing of what a cold server can bear.
-                Status::Moot => s.tokens += 1.0,
+                Status::NotSent => s.tokens += 1.0,
                 _ => {}
             }
             let held = s.inflight.min(1.0);
             s.inflight -= held;
             self.inflight -= held;
             if s.inflight < 1.0 && self.rarely_used(now, i) {
-                actions.push(Action::Close(server));
+                actions.push(Action::CloseIdle(server));
             }
         }
         // The origin is slow for all alike: its times are no measure for a cache, nor its silence for a zone.
@@ -833,7 +834,7 @@
         // Danger: a heavy request that takes its time would pass for a silent server.
         let elapsed = (elapsed as f64 / self.open.get(&id).map_or(1.0, |o| o.scale)) as Nanos;
         let usual = class.map(|c| self.usual(c)).unwrap_or_default();
-        let aim = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.aim);
+        let aim = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.latency_target);
         if let (Some(&i), true, true) = (self.by_id.get(&server), cache, aim > 0) {
             // What a miss takes is the origin's doing.
             let part = (elapsed as f64 / aim as f64).min(1.5);
@@ -844,7 +845,7 @@
                     let gain = if s.pace > 0.0 { 0.1 } else { 1.0 };
                     s.pace += gain * (elapsed as f64 - s.pace);
                 }
-                Status::Full => self.strained(i, 1.0),
+                Status::Rejected => self.strained(i, 1.0),
                 _ => {}
             }
         }
@@ -856,13 +857,13 @@
             // An answer that came far too late clears nobody: work is jammed there.
             Status::Ok if jammed => self.failed(now, server, 1),
             // A silent server turns away what it has no room for: that clears nobody.
-            Status::Full => {}
+            Status::Rejected => {}
             Status::Ok | Status::Error | Status::Miss => self.clear(server),
             Status::ConnectFailed => self.failed(now, server, 2),
-            Status::Reset | Status::Spoilt => self.broke(now, server),
+            Status::Reset | Status::Malformed => self.broke(now, server),
             Status::Timeout if usual.count > 5.0 && (elapsed as f64) < usual.mean + 2.0 * usual.spread => {}
             Status::Timeout => self.failed(now, server, 1),
-            Status::Cancelled | Status::Moot => {}
+            Status::Cancelled | Status::NotSent => {}
         }
         if let (Status::Ok, true, Some(seen)) = (status, cache, class.and_then(|c| self.seen.get_mut(c))) {
             seen.count += 1.0;
@@ -871,9 +872,9 @@
             seen.mean += gain * off;
             seen.spread += gain * (off.abs() - seen.spread);
         }
-        if cache && status.tells() {
+        if cache && status.reflects_server() {
             self.refused += 0.02 * (f64::from(u8::from(status == Status::ConnectFailed)) - self.refused);
-            self.full += 0.05 * (f64::from(u8::from(status == Status::Full)) - self.full);
+            self.full += 0.05 * (f64::from(u8::from(status == Status::Rejected)) - self.full);
             self.errors += 0.05 * (f64::from(u8::from(status == Status::Error)) - self.errors);
         }
         self.served += f64::from(u8::from(status == Status::Ok));
@@ -881,21 +882,22 @@
         if let Some(a) = open.attempts.get_mut(o.attempt as usize) {
             a.pending = false;
             a.silent = status == Status::Timeout;
-            a.broke = matches!(status, Status::Reset | Status::Spoilt);
+            a.broke = matches!(status, Status::Reset | Status::Malformed);
             a.may_have_run = !status.never_ran();
         }
         let streaming = open.streaming;
-        if let (Some(b), false, true) = (open.bucket, open.write, cache && status.tells()) {
+        if let (Some(b), false, true) = (open.bucket, open.write, cache && status.reflects_server()) {
             // Without a note an answer no slower than usual passes for a hit.
             let quick = (elapsed as f64) < usual.mean + 2.0 * usual.spread.max(1.0);
             self.learn(b, server, status == Status::Ok && hit.unwrap_or(quick));
         }
-        if o.last {
+        if o.request_complete {
             if let Some(open) = self.open.remove(&id) {
                 let late = self.settings.classes.get(open.class).map_or(0.0, |c| c.late_value);
                 let worth = if now <= open.aim_at { 1.0 } else { late };
                 self.ended(&open, if status == Status::Ok { worth } else { 0.0 });
-                let out = (0u32..).zip(&open.attempts).filter(|(_, a)| a.pending && self.settings.cancel);
+                let out =
+                    (0u32..).zip(&open.attempts).filter(|(_, a)| a.pending && self.settings.allow_cancel);
                 actions.extend(out.map(|(attempt, _)| Action::Cancel { id, attempt }));
             }
             return;
@@ -904,14 +906,14 @@
         if streaming || open.attempts.iter().any(|a| a.pending) {
             return;
         }
-        if status == Status::Miss && self.settings.aside {
+        if status == Status::Miss && self.settings.cache_aside {
             self.fetch(now, id, actions);
             return;
         }
         // Danger: a fetch that failed at one server, asked again at others, is one fetch more for each at an
         // origin that is failing already.
         // Where proxies fetch, a retry elsewhere after `Full` is a miss and a fetch more.
-        let busy = status == Status::Full && self.settings.aside && self.full > 2.0 * ERRORS;
+        let busy = status == Status::Rejected && self.settings.cache_aside && self.full > 2.0 * ERRORS;
         if (status == Status::Error && self.errors > ERRORS) || busy || !cache {
             self.give_up(id, actions);
             return;
@@ -919,7 +921,8 @@
         // What was not sent, or found no connection, cost nobody work, and work ends with its connection. Danger:
         // in a release with servers gone and the list seconds late, or where connections break at random, a spent
         // budget refuses what the next server could serve, and that passes for a jam.
-        let cheap = matches!(status, Status::Moot | Status::ConnectFailed | Status::Reset | Status::Spoilt);
+        let cheap =
+            matches!(status, Status::NotSent | Status::ConnectFailed | Status::Reset | Status::Malformed);
         let cost = if cheap { 0.1 } else { 1.0 };
         if !self.again(now, id, cost, actions) {
             self.give_up(id, actions);
@@ -970,7 +973,7 @@
         // No answer for so long counts against the server at once: a hung one is left after two of these.
         self.failed(now, server, 1);
         let allowed = |o: &Open| o.proven || self.errors <= ERRORS;
-        if self.settings.second_copies && self.open.get(&id).is_some_and(allowed) {
+        if self.settings.hedging && self.open.get(&id).is_some_and(allowed) {
             self.again(now, id, 1.0, actions);
         }
     }
@@ -1031,8 +1034,8 @@
             return 0.0;
         }
         let density = |c: usize, k: &Class| {
-            let work = if self.settings.worth_by_work { 1.0 } else { self.usual(c).mean.max(1.0) };
-            k.worth.max(1e-9) / work
+            let work = if self.settings.value_per_work { 1.0 } else { self.usual(c).mean.max(1.0) };
+            k.value.max(1e-9) / work
         };
         let all = self.settings.classes.iter().enumerate().map(|(c, k)| density(c, k));
         let mean = all.sum::<f64>() / self.settings.classes.len().max(1) as f64;
@@ -1046,10 +1049,10 @@
         self.ended(&open, 0.0);
         let class = self.settings.classes.get(open.class);
         let ran = open.attempts.iter().any(|a| a.pending || a.may_have_run);
-        let harmless = match class.map_or(Effect::Unsafe, |c| c.effect) {
-            Effect::Safe => true,
-            Effect::Keyed => !ran || class.is_some_and(|c| c.group == Group::All),
-            Effect::Unsafe => !ran,
+        let harmless = match class.map_or(RetrySafety::Unsafe, |c| c.retry_safety) {
+            RetrySafety::Safe => true,
+            RetrySafety::Keyed => !ran || class.is_some_and(|c| c.dedup_scope == DedupScope::All),
+            RetrySafety::Unsafe => !ran,
         };
         if harmless {
             // Advice to stay away while not all is taken, or while servers turn work away: the longer, the more.
--- a/crates/calicosaddle/src/lib.rs
+++ b/crates/calicosaddle/src/lib.rs
@@ -1,7 +1,7 @@
 //! calicosaddle decides, for a proxy that spreads keys over cache servers before a slow origin, which server
-//! gets each request. [`brain`] holds every decision, [`api`] its types.
+//! gets each request. [`balancer`] holds every decision, [`api`] its types.
 
 pub mod api;
-pub mod brain;
+pub mod balancer;
 
-pub use brain::Brain;
+pub use balancer::Balancer;
--- a/crates/calicosaddle/tests/common/mod.rs
+++ b/crates/calicosaddle/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use calicosaddle::api::*;
-use calicosaddle::Brain;
+use calicosaddle::Balancer;
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
@@ -10,56 +10,56 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: 300 * MS,
+            latency_target: 300 * MS,
             deadline: 800 * MS,
-            worth: 1.0,
+            value: 1.0,
             dedup_window: SECOND,
             ..Class::default()
         }],
-        proxies: 4,
+        proxy_count: 4,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        allow_cancel: true,
+        hedging: true,
         max_retry_after: SECOND,
-        cold_from: 0.2,
-        cold: 20 * SECOND,
-        fall_multiple: 3.0,
-        fall: SECOND,
+        slow_start_initial_fraction: 0.2,
+        slow_start_duration: 20 * SECOND,
+        overload_multiple: 3.0,
+        overload_duration: SECOND,
         drain_grace: 500 * MS,
-        must_ask_in: 10 * SECOND,
+        discovery_poll_interval: 10 * SECOND,
         ..Settings::default()
     }
 }
 
-pub fn entry(n: u64) -> Entry {
+pub fn entry(n: u64) -> ServerEntry {
     let server = server_id(&format!("server-{n}"));
-    Entry {
+    ServerEntry {
         server,
         zone: (n % 3) as u32,
         kind: 0,
         cell: (n % 6) as u32,
-        state: State::Ready,
+        state: ServerState::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     }
 }
 
-pub fn entries(numbers: std::ops::Range<u64>) -> Vec<Entry> {
+pub fn entries(numbers: std::ops::Range<u64>) -> Vec<ServerEntry> {
     numbers.map(entry).collect()
 }
 
 pub struct Proxy {
-    pub brain: Brain,
+    pub brain: Balancer,
     pub now: Nanos,
     next: RequestId,
 }
 
 impl Proxy {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Proxy { brain: Brain::new(settings, seed), now: 1000 * SECOND, next: 1 }
+        Proxy { brain: Balancer::new(settings, seed), now: 1000 * SECOND, next: 1 }
     }
 
-    pub fn with(settings: Settings, list: Vec<Entry>) -> Self {
+    pub fn with(settings: Settings, list: Vec<ServerEntry>) -> Self {
         let mut p = Self::new(settings, 7);
         p.list(ListKind::Cached, list);
         p
@@ -71,8 +71,8 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.event(Event::ServerList { kind, entries })
     }
 
     /// A request of class 0; returns its id and what was done.
@@ -107,7 +107,16 @@
         elapsed: Nanos,
     ) -> Vec<Action> {
         let last = status == Status::Ok;
-        self.event(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load: vec![] }))
+        self.event(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            elapsed,
+            request_complete: last,
+            hit,
+            load_report: vec![],
+        }))
     }
 
     /// Asks, answers and returns the server that was asked first.
--- a/crates/calicosaddle/tests/decisions.rs
+++ b/crates/calicosaddle/tests/decisions.rs
@@ -9,7 +9,7 @@
 
 /// The settings of one of a hundred proxies.
 fn thin(me: u32) -> Settings {
-    Settings { proxies: 100, me, zone: me % 3, ..settings() }
+    Settings { proxy_count: 100, proxy_index: me, zone: me % 3, ..settings() }
 }
 
 /// The next of a row of keys without end.
@@ -19,7 +19,7 @@
 }
 
 /// Where each of many keys goes first, at a proxy with this history of lists that has seen some traffic.
-fn homes(histories: &[(ListKind, Vec<Entry>)]) -> BTreeMap<u64, ServerId> {
+fn homes(histories: &[(ListKind, Vec<ServerEntry>)]) -> BTreeMap<u64, ServerId> {
     let mut p = Proxy::new(settings(), 5);
     for (kind, entries) in histories {
         p.list(*kind, entries.clone());
@@ -67,7 +67,7 @@
         p.crowd(0..100);
     }
     let gone = entries(0..20).into_iter().find(|e| e.server == first).expect("listed");
-    p.list(ListKind::Delta, vec![Entry { state: State::Gone, ..gone }]);
+    p.list(ListKind::Delta, vec![ServerEntry { state: ServerState::Removed, ..gone }]);
     let next = p.served(KEY, true);
     assert_ne!(next, first);
     p.crowd(0..100);
@@ -115,7 +115,7 @@
 fn a_draining_server_gets_nothing_new() {
     let mut list = entries(0..3);
     let mut p = Proxy::with(settings(), list.clone());
-    list[0].state = State::Draining;
+    list[0].state = ServerState::Draining;
     p.list(ListKind::Delta, vec![list[0].clone()]);
     for key in 0..200 {
         assert_ne!(p.served(key * 977, true), list[0].server);
@@ -166,7 +166,7 @@
     p.crowd(0..100);
     let first = p.served(KEY, true);
     for _ in 0..3 {
-        for status in [Status::Timeout, Status::Full] {
+        for status in [Status::Timeout, Status::Rejected] {
             let (id, actions) = p.ask(KEY);
             if sent(&actions) != Some(first) {
                 return;
@@ -181,7 +181,8 @@
 
 #[test]
 fn a_server_is_left_when_all_its_connections_break_not_for_some() {
-    for (status, rounds) in [(Status::Reset, 2..=4), (Status::Spoilt, 2..=4), (Status::ConnectFailed, 1..=1)]
+    for (status, rounds) in
+        [(Status::Reset, 2..=4), (Status::Malformed, 2..=4), (Status::ConnectFailed, 1..=1)]
     {
         let mut p = Proxy::with(settings(), entries(0..20));
         p.crowd(0..400);
@@ -218,7 +219,7 @@
         let mut server = sent(&actions).expect("sent");
         if server == first {
             turned_away += 1;
-            server = sent(&p.end(two, 0, first, Status::Full, None)).expect("sent again");
+            server = sent(&p.end(two, 0, first, Status::Rejected, None)).expect("sent again");
             p.end(two, 1, server, Status::Ok, Some(false));
         } else {
             p.end(two, 0, server, Status::Ok, Some(false));
@@ -239,7 +240,7 @@
         p.now += 2 * MS;
         p.served(i * 7919, true);
     }
-    list[0].started = p.now;
+    list[0].started_at = p.now;
     let cold = list[0].server;
     p.list(ListKind::Delta, vec![list[0].clone()]);
     let mut to_cold = 0;
@@ -253,7 +254,7 @@
 #[test]
 fn a_restarted_proxy_keeps_the_cold_budget() {
     let mut list = entries(0..4);
-    list[0].started = 999 * SECOND;
+    list[0].started_at = 999 * SECOND;
     let mut p = Proxy::with(settings(), list.clone());
     let to_cold = (0..200u64).filter(|i| p.served(i * 7919, true) == list[0].server).count();
     assert!(to_cold <= 30, "{to_cold} of 200 at a proxy that knows nothing yet");
@@ -271,7 +272,7 @@
         }
         let until = p.now - others as u64 * 20 * MS;
         while let Some((_, id)) = waiting.pop_front_if(|(at, _)| *at <= until) {
-            p.event(Event::Expired(id));
+            p.event(Event::Abandoned(id));
         }
     }
     refused
@@ -314,7 +315,7 @@
         p.now += 10 * MS;
         let (id, _) = p.ask_as(Request { key: Some(i), remaining: 500 * MS, ..Request::default() });
         if i < 40 {
-            p.event(Event::Expired(id));
+            p.event(Event::Abandoned(id));
         }
     }
     let mut taken = 0;
@@ -363,7 +364,7 @@
 #[test]
 fn aside_misses_and_writes_go_to_the_origin_and_nothing_else_does() {
     let mut s = settings();
-    s.aside = true;
+    s.cache_aside = true;
     s.origin_kind = Some(5);
     let mut list = entries(0..6);
     list[2].kind = 5;
@@ -389,7 +390,8 @@
 
 #[test]
 fn a_proxy_with_an_old_list_gives_up_on_a_box_that_has_gone_by_evidence() {
-    let mut p = Proxy::with(Settings { proxies: 100, must_ask: true, ..settings() }, entries(0..60));
+    let mut p =
+        Proxy::with(Settings { proxy_count: 100, poll_discovery: true, ..settings() }, entries(0..60));
     p.crowd(0..300);
     let gone = p.served(KEY, true);
     // A request every 60 ms, as one of a hundred proxies has; connections to the box are refused.
@@ -414,7 +416,7 @@
 
 #[test]
 fn a_thin_proxy_leaves_a_silent_box_after_two_outcomes() {
-    let mut p = Proxy::with(Settings { proxies: 100, ..settings() }, entries(0..60));
+    let mut p = Proxy::with(Settings { proxy_count: 100, ..settings() }, entries(0..60));
     p.crowd(0..300);
     // Once a second or less, so that no third silence is waited for.
     for k in 0..600u64 {
@@ -449,16 +451,21 @@
         // In six rounds six boxes drain, go, and as many new ones come, cold.
         for round in 0..6u64 {
             let old = entries(round * 6..round * 6 + 6);
-            let old = |state| old.iter().map(|e| Entry { state, ..e.clone() }).collect::<Vec<_>>();
-            p.list(ListKind::Delta, old(State::Draining));
+            let old = |state| old.iter().map(|e| ServerEntry { state, ..e.clone() }).collect::<Vec<_>>();
+            p.list(ListKind::Delta, old(ServerState::Draining));
             for k in 0..20u64 {
                 p.now += 60 * MS;
                 let server = p.served(0x5555_0000 + (round * 20 + k) * 7919, true);
-                assert!(old(State::Gone).iter().all(|e| e.server != server), "sent to a draining box");
+                assert!(
+                    old(ServerState::Removed).iter().all(|e| e.server != server),
+                    "sent to a draining box"
+                );
             }
-            p.list(ListKind::Delta, old(State::Gone));
+            p.list(ListKind::Delta, old(ServerState::Removed));
             let started = p.now;
-            let new = entries(100 + round * 6..106 + round * 6).into_iter().map(|e| Entry { started, ..e });
+            let new = entries(100 + round * 6..106 + round * 6)
+                .into_iter()
+                .map(|e| ServerEntry { started_at: started, ..e });
             p.list(ListKind::Delta, new.collect());
         }
         // Once the new ones are warm, all but the keys that they were given are where they were.
@@ -477,7 +484,7 @@
 
 #[test]
 fn a_silence_weighs_by_how_often_this_proxy_sends_to_its_subset_and_not_by_the_whole_fleet() {
-    let mut p = Proxy::with(Settings { proxies: 300, ..settings() }, entries(0..200));
+    let mut p = Proxy::with(Settings { proxy_count: 300, ..settings() }, entries(0..200));
     for key in 0..400u64 {
         p.now += 50 * MS;
         p.served(key * 104_729, true);
@@ -486,12 +493,12 @@
     let (id, actions) = p.ask(7);
     let first = sent(&actions).expect("sent");
     p.end_after(id, 0, first, Status::Timeout, None, 400 * MS);
-    assert_eq!(p.brain.avoided(p.now), 0);
+    assert_eq!(p.brain.unavailable_servers(p.now), 0);
     // The second says enough.
     let (id, actions) = p.ask(7);
     assert_eq!(sent(&actions), Some(first));
     p.end_after(id, 0, first, Status::Timeout, None, 400 * MS);
-    assert_eq!(p.brain.avoided(p.now), 1);
+    assert_eq!(p.brain.unavailable_servers(p.now), 1);
 }
 
 #[test]
@@ -502,9 +509,9 @@
         p.now += 5 * MS;
         let (id, actions) = p.ask(key * 104_729);
         let first = sent(&actions).expect("sent");
-        let actions = p.end_after(id, 0, first, Status::Moot, None, 0);
+        let actions = p.end_after(id, 0, first, Status::NotSent, None, 0);
         let second = sent(&actions).unwrap_or_else(|| panic!("request {key} is not sent again: {actions:?}"));
-        assert!(second != first && p.brain.avoided(p.now) == 0, "request {key}");
+        assert!(second != first && p.brain.unavailable_servers(p.now) == 0, "request {key}");
         p.end(id, 1, second, Status::Ok, Some(true));
     }
 }
@@ -512,7 +519,8 @@
 #[test]
 fn what_was_not_sent_took_nothing_of_what_a_cold_server_bears() {
     let started = 1000 * SECOND;
-    let list: Vec<Entry> = entries(0..2).into_iter().map(|e| Entry { started, ..e }).collect();
+    let list: Vec<ServerEntry> =
+        entries(0..2).into_iter().map(|e| ServerEntry { started_at: started, ..e }).collect();
     let mut p = Proxy::with(settings(), list);
     // What they bear at this moment is soon used up.
     let mut out = 0;
@@ -529,7 +537,7 @@
         })
         .expect("they warm up");
     assert!(sent(&p.ask(7).1).is_none());
-    let actions = p.end_after(id, 0, server, Status::Moot, None, 0);
+    let actions = p.end_after(id, 0, server, Status::NotSent, None, 0);
     assert!(sent(&actions).is_none(), "the other bears one more as well");
     assert_eq!(sent(&p.ask(7).1), Some(server));
 }
@@ -548,7 +556,7 @@
         if zone_of(server) == Some(1) {
             lost += 1;
             p.end_after(id, 0, server, Status::Timeout, None, 400 * MS);
-            p.event(Event::Expired(id));
+            p.event(Event::Abandoned(id));
         } else {
             p.end(id, 0, server, Status::Ok, Some(true));
         }
@@ -582,7 +590,7 @@
         }
         let until = p.now - 320 * MS;
         while let Some((_, id, server)) = waiting.pop_front_if(|(at, ..)| *at <= until) {
-            p.event(Event::Expired(id));
+            p.event(Event::Abandoned(id));
             p.end(id, 0, server, Status::Timeout, None);
         }
     }
@@ -625,10 +633,10 @@
     assert!(tried >= 18, "{tried} of 20 tried again");
 }
 
-fn aside() -> (Settings, Vec<Entry>, ServerId) {
+fn aside() -> (Settings, Vec<ServerEntry>, ServerId) {
     let mut list = entries(0..12);
-    list.push(Entry { kind: 1, ..entry(99) });
-    (Settings { aside: true, origin_kind: Some(1), ..settings() }, list, server_id("server-99"))
+    list.push(ServerEntry { kind: 1, ..entry(99) });
+    (Settings { cache_aside: true, origin_kind: Some(1), ..settings() }, list, server_id("server-99"))
 }
 
 /// Asks for fresh keys, lets each miss and ends the fetch at the origin with `status`; returns how many fetches
@@ -695,8 +703,12 @@
 #[test]
 fn a_heavy_request_that_takes_its_time_is_no_silent_server() {
     let mut p = Proxy::with(settings(), entries(0..10));
-    let hinted =
-        |hint| Request { key: Some(KEY), hint: Some(hint), remaining: 800 * MS, ..Request::default() };
+    let hinted = |hint| Request {
+        key: Some(KEY),
+        expected_work: Some(hint),
+        remaining: 800 * MS,
+        ..Request::default()
+    };
     for _ in 0..40 {
         p.now += 100 * MS;
         let (id, actions) = p.ask_as(hinted(MS));
@@ -729,19 +741,19 @@
         let n = u32::from(!actions.is_empty());
         let server = sent(&actions).unwrap_or(server);
         let actions = p.end(id, n, server, Status::Ok, Some(true));
-        closed += actions.iter().filter(|a| matches!(a, Action::Close(_))).count();
+        closed += actions.iter().filter(|a| matches!(a, Action::CloseIdle(_))).count();
     }
     closed
 }
 
 #[test]
 fn connections_needed_again_too_late_are_closed() {
-    let priced = Settings { connection_price: 0.2, handshake_price: 0.1, proxies: 1000, ..settings() };
+    let priced = Settings { connection_price: 0.2, handshake_price: 0.1, proxy_count: 1000, ..settings() };
     assert!(closed(priced.clone(), 200 * MS, false) > 150, "many thin proxies close");
-    assert_eq!(closed(Settings { proxies: 4, ..priced }, 5 * MS, false), 0, "few busy ones keep");
+    assert_eq!(closed(Settings { proxy_count: 4, ..priced }, 5 * MS, false), 0, "few busy ones keep");
     assert_eq!(closed(settings(), 200 * MS, false), 0, "without a price nothing is closed");
     assert!(closed(settings(), 200 * MS, true) > 100, "unless servers refuse connections");
-    let many = Settings { proxies: 100, ..settings() };
+    let many = Settings { proxy_count: 100, ..settings() };
     assert_eq!(closed(many, 200 * MS, true), 0, "a subset's connections are kept");
 }
 
@@ -750,7 +762,10 @@
     let (mut at, mut far) = (BTreeMap::new(), 0.0);
     for me in 0..proxies {
         let zone = me % 3;
-        let mut p = Proxy::with(Settings { proxies, me, zone, ..settings() }, entries(0..60));
+        let mut p = Proxy::with(
+            Settings { proxy_count: proxies, proxy_index: me, zone, ..settings() },
+            entries(0..60),
+        );
         let asked: Vec<ServerId> = (0..400u64).map(|k| p.served(k * 7919, true)).collect();
         let abroad = entries(0..60).into_iter().filter(|e| e.zone != zone);
         let abroad: Vec<ServerId> = abroad.map(|e| e.server).collect();
@@ -799,7 +814,7 @@
             let now = born - 10 * SECOND + tick * SECOND / 16;
             p.now = now;
             if now == born {
-                p.list(ListKind::Delta, vec![Entry { started: born, ..entry(7) }]);
+                p.list(ListKind::Delta, vec![ServerEntry { started_at: born, ..entry(7) }]);
             }
             if p.served(next_key(&mut key), false) == cold && now >= born {
                 *sends.entry((now - born) / SECOND).or_insert(0.0) += 1.0;
@@ -876,10 +891,13 @@
 #[test]
 fn a_hot_key_is_answered_where_all_that_is_ranked_is_cold() {
     for (proxies, first) in [(4, 0), (4, 50), (4, 100), (100, 0), (100, 50), (100, 100)] {
-        let mut p = Proxy::with(Settings { proxies, ..settings() }, entries(0..60));
+        let mut p = Proxy::with(Settings { proxy_count: proxies, ..settings() }, entries(0..60));
         p.crowd(0..20);
         let started = p.now;
-        p.list(ListKind::Full, entries(100..104).into_iter().map(|e| Entry { started, ..e }).collect());
+        p.list(
+            ListKind::Full,
+            entries(100..104).into_iter().map(|e| ServerEntry { started_at: started, ..e }).collect(),
+        );
         for k in 0..400u64 {
             p.now += MS;
             let (id, actions) = p.ask((first + k % 4) * 7919);
@@ -932,7 +950,7 @@
         refused += u32::from(sent(&actions).is_none());
         let mut n = 0;
         while let Some(server) = sent(&actions) {
-            actions = p.end(id, n, server, Status::Full, None);
+            actions = p.end(id, n, server, Status::Rejected, None);
             n += 1;
         }
     }
@@ -949,7 +967,7 @@
         p.now += 20 * MS;
         let (id, actions) = p.ask(0x8000_0000 + k * 7919);
         let server = sent(&actions).expect("sent");
-        let actions = p.end(id, 0, server, Status::Full, None);
+        let actions = p.end(id, 0, server, Status::Rejected, None);
         if let Some(next) = sent(&actions) {
             passed += 1;
             p.end(id, 1, next, Status::Ok, Some(true));
@@ -969,7 +987,7 @@
     let (one, other) = (entry(2).server, entry(9).server);
     assert!(asked(&mut p).contains(&one));
     // The whole set each time, also one that no list has named yet.
-    p.event(Event::Withdrawn(vec![one, other]));
+    p.event(Event::OperatorDrained(vec![one, other]));
     assert!(!asked(&mut p).contains(&one));
     for kind in [ListKind::Full, ListKind::Delta, ListKind::Cached] {
         p.list(kind, entries(0..10));
@@ -980,7 +998,7 @@
     p.list(ListKind::Full, entries(3..6));
     p.list(ListKind::Full, entries(0..10));
     assert!(!asked(&mut p).contains(&one));
-    p.event(Event::Withdrawn(vec![other]));
+    p.event(Event::OperatorDrained(vec![other]));
     let at = asked(&mut p);
     assert!(at.contains(&one) && !at.contains(&other));
     // What is out there when it is withdrawn ends as it would, and what follows goes elsewhere.
@@ -989,7 +1007,7 @@
         .find_map(|(key, (id, actions))| (sent(&actions) == Some(one)).then_some((key, id, actions)))
         .expect("a key of it");
     assert_eq!(finals(&actions), 0);
-    p.event(Event::Withdrawn(vec![one]));
+    p.event(Event::OperatorDrained(vec![one]));
     let again = p.end(id, 0, one, Status::Reset, None);
     assert!(sent(&again).is_some_and(|s| s != one), "{key}: {again:?}");
 }
--- a/crates/calicosaddle/tests/rules.rs
+++ b/crates/calicosaddle/tests/rules.rs
@@ -30,13 +30,13 @@
 const ENDS: [Status; 10] = [
     Status::Ok,
     Status::Error,
-    Status::Full,
+    Status::Rejected,
     Status::Timeout,
     Status::ConnectFailed,
     Status::Reset,
-    Status::Spoilt,
+    Status::Malformed,
     Status::Cancelled,
-    Status::Moot,
+    Status::NotSent,
     Status::Miss,
 ];
 
@@ -61,7 +61,7 @@
     settings: Settings,
     asked: BTreeMap<RequestId, Asked>,
     timers: Vec<(Nanos, u64)>,
-    list: BTreeMap<ServerId, Entry>,
+    list: BTreeMap<ServerId, ServerEntry>,
 }
 
 impl World {
@@ -90,23 +90,25 @@
                     assert!(now <= r.deadline, "sent after the deadline");
                     assert_eq!(
                         self.list[&server].state,
-                        State::Ready,
+                        ServerState::Ready,
                         "sent to a server that drains or is gone"
                     );
                     assert!(r.tries.len() < self.settings.max_attempts as usize, "too many attempts");
-                    assert!(self.settings.second_copies || r.tries.iter().all(|t| !t.pending), "two at once");
+                    assert!(self.settings.hedging || r.tries.iter().all(|t| !t.pending), "two at once");
                     let class = &self.settings.classes[r.class];
                     for t in r.tries.iter().filter(|t| t.pending || t.ran) {
                         let (old, new) = (&self.list[&t.server], &self.list[&server]);
-                        match class.effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent again"),
-                            Effect::Keyed => {
+                        match class.retry_safety {
+                            RetrySafety::Safe => {}
+                            RetrySafety::Unsafe => panic!("an unsafe request sent again"),
+                            RetrySafety::Keyed => {
                                 assert!(now < t.sent + class.dedup_window, "sent outside the window");
-                                match class.group {
-                                    Group::All => {}
-                                    Group::Zone => assert_eq!(old.zone, new.zone),
-                                    Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
+                                match class.dedup_scope {
+                                    DedupScope::All => {}
+                                    DedupScope::Zone => assert_eq!(old.zone, new.zone),
+                                    DedupScope::Cell => {
+                                        assert_eq!((old.zone, old.cell), (new.zone, new.cell))
+                                    }
                                 }
                             }
                         }
@@ -120,8 +122,9 @@
                     let class = &self.settings.classes[r.class];
                     let ran = r.tries.iter().any(|t| t.pending || t.ran);
                     assert!(
-                        !ran || class.effect == Effect::Safe
-                            || (class.effect == Effect::Keyed && class.group == Group::All)
+                        !ran || class.retry_safety == RetrySafety::Safe
+                            || (class.retry_safety == RetrySafety::Keyed
+                                && class.dedup_scope == DedupScope::All)
                     );
                     r.over = true;
                 }
@@ -132,11 +135,11 @@
                 }
                 Action::Timer { token, delay } => self.timers.push((now + delay, token)),
                 Action::Cancel { id, attempt } => {
-                    assert!(self.settings.cancel);
+                    assert!(self.settings.allow_cancel);
                     assert!((attempt as usize) < self.asked[&id].tries.len());
                 }
-                Action::Close(_) => {}
-                Action::Probe(_) => assert!(self.settings.probe),
+                Action::CloseIdle(_) => {}
+                Action::Probe(_) => assert!(self.settings.allow_probe),
                 Action::Subscribe => panic!("the module does not follow lists"),
             }
         }
@@ -156,9 +159,9 @@
             server,
             status,
             elapsed: now - sent,
-            last,
+            request_complete: last,
             hit: None,
-            load: vec![],
+            load_report: vec![],
         });
         let actions = self.proxy.event(event);
         self.check(actions);
@@ -219,8 +222,8 @@
             }
             Step::Pass { ms } => self.pass(self.proxy.now + ms * MS),
             Step::Change { server, state } => {
-                let state = [State::Ready, State::Draining, State::Gone][state];
-                let changed = Entry { state, ..entry(server) };
+                let state = [ServerState::Ready, ServerState::Draining, ServerState::Removed][state];
+                let changed = ServerEntry { state, ..entry(server) };
                 self.list.insert(changed.server, changed.clone());
                 let actions = self.proxy.list(ListKind::Delta, vec![changed]);
                 self.check(actions);
@@ -230,7 +233,7 @@
                     self.asked.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(which % open.len().max(1)) {
                     self.asked.get_mut(id).expect("asked").over = true;
-                    let actions = self.proxy.event(Event::Expired(*id));
+                    let actions = self.proxy.event(Event::Abandoned(*id));
                     self.check(actions);
                 }
             }
@@ -254,10 +257,10 @@
 fn classes() -> Settings {
     let mut s = settings();
     let base = s.classes[0].clone();
-    let keyed = |group| Class { effect: Effect::Keyed, group, ..base.clone() };
-    s.classes.push(keyed(Group::All));
-    s.classes.push(keyed(Group::Cell));
-    s.classes.push(Class { effect: Effect::Unsafe, ..base.clone() });
+    let keyed = |group| Class { retry_safety: RetrySafety::Keyed, dedup_scope: group, ..base.clone() };
+    s.classes.push(keyed(DedupScope::All));
+    s.classes.push(keyed(DedupScope::Cell));
+    s.classes.push(Class { retry_safety: RetrySafety::Unsafe, ..base.clone() });
     s
 }
 
@@ -268,11 +271,11 @@
 
 #[test]
 fn rules_hold_with_one_attempt_at_a_time_and_an_asked_list() {
-    hold(Settings { second_copies: false, must_ask: true, cancel: false, ..classes() });
+    hold(Settings { hedging: false, poll_discovery: true, allow_cancel: false, ..classes() });
 }
 
 #[test]
 fn rules_hold_aside() {
-    hold(Settings { aside: true, origin_kind: Some(0), ..classes() });
-    hold(Settings { aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
+    hold(Settings { cache_aside: true, origin_kind: Some(0), ..classes() });
+    hold(Settings { cache_aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
 }
--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -276,7 +276,10 @@
     if live == 0 {
         return Err("the configuration knows no live boxes; take one that a proxy was started with".into());
     }
-    let rule = ColdRule { from: config.settings.cold_from, span: config.settings.cold };
+    let rule = ColdRule {
+        from: config.settings.slow_start_initial_fraction,
+        span: config.settings.slow_start_duration,
+    };
     Ok((steps(rule, live, candidates as usize, count as usize), live))
 }
 
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -58,7 +58,12 @@
 
 impl From<&Settings> for Terms {
     fn from(s: &Settings) -> Terms {
-        Terms { pushed: !s.must_ask, proxies: s.proxies, must_ask_in: s.must_ask_in, grace: s.drain_grace }
+        Terms {
+            pushed: !s.poll_discovery,
+            proxies: s.proxy_count,
+            must_ask_in: s.discovery_poll_interval,
+            grace: s.drain_grace,
+        }
     }
 }
 
--- a/crates/freshness/src/stream.rs
+++ b/crates/freshness/src/stream.rs
@@ -18,23 +18,23 @@
 impl Stream {
     /// A process that has heard nothing yet.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        let begins = settings.must_ask.then(|| (Terms::from(settings), seed));
+        let begins = settings.poll_discovery.then(|| (Terms::from(settings), seed));
         Stream { begins, follower: None, subscribed: false }
     }
 
     /// Looks at an event that is also the module's; what it calls for is appended.
     pub fn handle(&mut self, now: Nanos, event: &Event, actions: &mut Vec<Action>) {
-        if let Event::List { kind: ListKind::Cached, .. } = event {
+        if let Event::ServerList { kind: ListKind::Cached, .. } = event {
             self.follower = self.begins.take().map(|(terms, seed)| Follower::new(terms, seed, now));
         }
         let Some(follower) = &mut self.follower else { return };
         match event {
-            Event::List { kind: ListKind::Failed, .. } => {
+            Event::ServerList { kind: ListKind::Failed, .. } => {
                 self.subscribed = false;
                 follower.failed(now);
             }
-            Event::List { kind: ListKind::Cached, .. } => {}
-            Event::List { .. } if !self.subscribed => {
+            Event::ServerList { kind: ListKind::Cached, .. } => {}
+            Event::ServerList { .. } if !self.subscribed => {
                 // Changes come from now on, whatever their number: no call is to wait for them.
                 self.subscribed = true;
                 follower.answered(now, true);
--- a/crates/freshness/tests/histories.rs
+++ b/crates/freshness/tests/histories.rs
@@ -160,16 +160,21 @@
 
 #[test]
 fn a_stream_is_subscribed_to_again_after_each_failure_and_only_where_lists_are_asked_for() {
-    let list = |kind| Event::List { kind, entries: Vec::new() };
-    let settings = Settings { must_ask: true, proxies: 4, must_ask_in: 10 * SECOND, ..Settings::default() };
-    let mut pushed = Stream::new(&Settings { must_ask: false, ..settings.clone() }, 3);
+    let list = |kind| Event::ServerList { kind, entries: Vec::new() };
+    let settings = Settings {
+        poll_discovery: true,
+        proxy_count: 4,
+        discovery_poll_interval: 10 * SECOND,
+        ..Settings::default()
+    };
+    let mut pushed = Stream::new(&Settings { poll_discovery: false, ..settings.clone() }, 3);
     let (mut stream, mut now, mut actions) = (Stream::new(&settings, 3), SECOND, Vec::new());
     pushed.handle(now, &list(ListKind::Cached), &mut actions);
     assert_eq!(actions, []);
     stream.handle(now, &list(ListKind::Cached), &mut actions);
     for _ in 0..6 {
         let [Action::Timer { token, delay }] = actions[..] else { panic!("{actions:?}") };
-        assert!(delay < settings.must_ask_in);
+        assert!(delay < settings.discovery_poll_interval);
         now += delay;
         actions.clear();
         stream.handle(now, &Event::Timer(token), &mut actions);
--- a/crates/model/src/boxes.rs
+++ b/crates/model/src/boxes.rs
@@ -210,7 +210,7 @@
         if chance.happens(self.resets) {
             Some(Status::Reset)
         } else if chance.happens(self.spoils) {
-            Some(Status::Spoilt)
+            Some(Status::Malformed)
         } else {
             None
         }
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -2,13 +2,13 @@
 
 use crate::scenario;
 use crate::{millis, Nanos, SECOND};
-use calicosaddle::api::{Entry, State};
+use calicosaddle::api::{ServerEntry, ServerState};
 
 /// The list, and what is out of order.
 #[derive(Debug)]
 pub struct Discovery {
     /// All entries by the boxes' numbers; those that were never listed are nothing.
-    pub entries: Vec<Option<Entry>>,
+    pub entries: Vec<Option<ServerEntry>>,
     lag: Nanos,
     second_lag: Nanos,
     /// More lag, by faults.
@@ -40,9 +40,9 @@
     }
 
     /// The whole list.
-    pub fn whole(&self) -> Vec<(u32, Entry)> {
+    pub fn whole(&self) -> Vec<(u32, ServerEntry)> {
         let all = self.entries.iter().enumerate().filter_map(|(b, e)| Some((b as u32, e.clone()?)));
-        all.filter(|(_, e)| e.state != State::Gone).collect()
+        all.filter(|(_, e)| e.state != ServerState::Removed).collect()
     }
 
     /// May one more call be answered now?
--- a/crates/model/src/host.rs
+++ b/crates/model/src/host.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Known {
     /// Nothing, or its state.
-    pub state: Option<State>,
+    pub state: Option<ServerState>,
     pub started: Nanos,
 }
 
@@ -187,7 +187,7 @@
             class,
             key: Some(key),
             remaining: until - now,
-            repeat: number > 0,
+            is_retry: number > 0,
             write,
             ..Request::default()
         }));
@@ -201,7 +201,7 @@
     pub(crate) fn decide(&mut self, proxy: usize) {
         while let Some(mut event) = self.hosts[proxy].events.pop_front() {
             if let Event::Outcome(o) = &mut event {
-                o.last = !self.waits(proxy, o.id);
+                o.request_complete = !self.waits(proxy, o.id);
                 self.retire(proxy, o.id);
             }
             let Some(mut policy) = self.hosts[proxy].policy.take() else { return };
@@ -225,11 +225,11 @@
             Action::Timer { token, delay } => self.at(self.now + delay, Ev::Module { proxy, life, token }),
             Action::Probe(server) => self.hosts[proxy].events.push_back(Event::Probed {
                 server,
-                status: Status::Moot,
+                status: Status::NotSent,
                 elapsed: 0,
-                load: Vec::new(),
+                load_report: Vec::new(),
             }),
-            Action::Close(server) => {
+            Action::CloseIdle(server) => {
                 let Some(at) = self.by_server.get(&server).copied() else { return };
                 let keys =
                     self.hosts[proxy].by_box.get(&at).map(|r| r.connections.clone()).unwrap_or_default();
@@ -259,7 +259,7 @@
         let until = if timeout > 0 { open.until.min(now + timeout) } else { open.until };
         self.note(request, || format!("proxy {proxy} begins attempt {number} at box {at}"));
         if over && guarded {
-            self.end_attempt(proxy, id, number, Status::Moot);
+            self.end_attempt(proxy, id, number, Status::NotSent);
             return;
         }
         if answered {
@@ -281,7 +281,7 @@
             Some(key) => self.put(key, job),
             None => {
                 let connected = self.hosts[proxy].by_box.get(&at).is_some_and(|r| !r.connections.is_empty());
-                self.end_attempt(proxy, job.id, job.number, Status::unplaced(connected));
+                self.end_attempt(proxy, job.id, job.number, Status::without_connection(connected));
             }
         }
     }
@@ -424,11 +424,11 @@
             let (id, attempt) = job.tag();
             let (proxy, to, serial, seq) = (c.proxy, c.to, c.serial, c.next);
             let host = &self.hosts[proxy];
-            let ready = host.known.get(to as usize).is_some_and(|k| k.state == Some(State::Ready));
+            let ready = host.known.get(to as usize).is_some_and(|k| k.state == Some(ServerState::Ready));
             let Some(open) = host.open.get(&id) else { continue };
             let (request, rkey, until) = (open.request, open.key, open.until);
             if self.options.guard && (!ready || until <= self.now) {
-                let status = if ready { Status::ConnectFailed } else { Status::Moot };
+                let status = if ready { Status::ConnectFailed } else { Status::NotSent };
                 self.ended(proxy, id, attempt, status, None);
                 continue;
             }
@@ -499,11 +499,13 @@
             server,
             status,
             elapsed: now - out.sent,
-            last: false,
+            request_complete: false,
             hit,
-            load: Vec::new(),
+            load_report: Vec::new(),
         }));
-        self.note(request, || format!("attempt {attempt} at box {} ended: {status:?}", out.at));
+        self.note(request, || {
+            format!("attempt {attempt} at box {} ended: {}", out.at, reported_name(status))
+        });
     }
 
     /// A connection is there no longer, and its box will learn of it.
@@ -574,9 +576,9 @@
                 times.answered(answered.lane, answered.behind, answered.took, answered.as_head);
             }
         }
-        if status == Status::Spoilt {
+        if status == Status::Malformed {
             if let Some((id, attempt)) = answered.tag {
-                self.ended(proxy, id, attempt, Status::Spoilt, None);
+                self.ended(proxy, id, attempt, Status::Malformed, None);
             }
             self.close(key);
             self.decide(proxy);
@@ -641,13 +643,23 @@
         self.end_attempts(proxy, id, Status::Timeout);
         self.decide(proxy);
         if self.waits(proxy, id) {
-            self.hosts[proxy].events.push_back(Event::Expired(id));
+            self.hosts[proxy].events.push_back(Event::Abandoned(id));
             self.answer(proxy, id, End::Failed);
             self.decide(proxy);
         }
     }
 }
 
+/// The name of a status in the histories of run reports.
+fn reported_name(status: Status) -> String {
+    match status {
+        Status::Rejected => "Full".into(),
+        Status::Malformed => "Spoilt".into(),
+        Status::NotSent => "Moot".into(),
+        other => format!("{other:?}"),
+    }
+}
+
 /// The true state, from where a proxy stands.
 struct Seen<'s, 'a> {
     sim: &'s Sim<'a>,
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -1,7 +1,7 @@
 //! What decides: the shipped module, or something to compare it with, by the module's own interface.
 
 use calicosaddle::api::{Action, Event, Nanos, ServerId, Settings};
-use calicosaddle::Brain;
+use calicosaddle::Balancer;
 use freshness::Stream;
 
 /// The state of the boxes as it is, which nobody knows outside a model.
@@ -23,14 +23,14 @@
 
 /// The shipped module, and what follows the list for it.
 pub struct Shipped {
-    brain: Brain,
+    brain: Balancer,
     stream: Stream,
 }
 
 impl Shipped {
     /// A process that begins at the first event; nothing learned.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        Shipped { brain: Brain::new(settings.clone(), seed), stream: Stream::new(settings, seed) }
+        Shipped { brain: Balancer::new(settings.clone(), seed), stream: Stream::new(settings, seed) }
     }
 }
 
@@ -41,6 +41,6 @@
     }
 
     fn avoided(&self, now: Nanos) -> usize {
-        self.brain.avoided(now)
+        self.brain.unavailable_servers(now)
     }
 }
--- a/crates/model/src/rivals.rs
+++ b/crates/model/src/rivals.rs
@@ -85,7 +85,7 @@
     rule: Rule,
     settings: Settings,
     chance: Chance,
-    boxes: Vec<Entry>,
+    boxes: Vec<ServerEntry>,
     out: FxHashMap<ServerId, u32>,
     open: FxHashMap<RequestId, Open>,
     trials: FxHashMap<u64, Trial>,
@@ -112,7 +112,7 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>, actions: &mut Vec<Action>) {
+    fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             actions.push(Action::Subscribe);
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    fn held(&self, entry: &Entry) -> f64 {
+    fn held(&self, entry: &ServerEntry) -> f64 {
         f64::from(self.out.get(&entry.server).copied().unwrap_or(0)) / entry.weight.max(1e-9)
     }
 
@@ -153,7 +153,7 @@
     }
 
     fn pick(&mut self, request: &Request, tried: &[ServerId], truth: &dyn Truth) -> Option<ServerId> {
-        let fits = |b: &Entry| b.state == State::Ready && !tried.contains(&b.server);
+        let fits = |b: &ServerEntry| b.state == ServerState::Ready && !tried.contains(&b.server);
         let usable: Vec<usize> = (0..self.boxes.len()).filter(|i| fits(&self.boxes[*i])).collect();
         let n = usable.len();
         if n == 0 {
@@ -224,7 +224,7 @@
         };
         let Some(server) = picked else {
             let class = self.settings.classes.get(open.request.class as usize);
-            let harmless = open.unseen || class.is_some_and(|c| c.effect == Effect::Safe);
+            let harmless = open.unseen || class.is_some_and(|c| c.retry_safety == RetrySafety::Safe);
             actions.push(if harmless { Action::Refuse { id, retry_after: 0 } } else { Action::Fail { id } });
             return;
         };
@@ -258,13 +258,13 @@
                 }
             }
         }
-        if o.status == Status::Ok || o.last {
+        if o.status == Status::Ok || o.request_complete {
             self.open.remove(&o.id);
             return;
         }
         let Some(open) = self.open.get(&o.id) else { return };
         let class = self.settings.classes.get(open.request.class as usize);
-        if o.status.never_ran() || class.is_some_and(|c| c.effect == Effect::Safe) {
+        if o.status.never_ran() || class.is_some_and(|c| c.retry_safety == RetrySafety::Safe) {
             self.attempt(now, o.id, truth, actions);
         } else {
             self.open.remove(&o.id);
@@ -276,7 +276,7 @@
 impl Policy for Rival {
     fn handle(&mut self, now: Nanos, event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, entries } => self.list(kind, entries, actions),
+            Event::ServerList { kind, entries } => self.list(kind, entries, actions),
             Event::Arrival(request) => {
                 let (id, until) = (request.id, now + request.remaining);
                 let open = Open { request, until, tried: Vec::new(), out: 0, unseen: true };
@@ -284,11 +284,11 @@
                 self.attempt(now, id, truth, actions);
             }
             Event::Outcome(outcome) => self.ended(now, &outcome, truth, actions),
-            Event::Expired(id) => {
+            Event::Abandoned(id) => {
                 self.open.remove(&id);
             }
             Event::Settings(settings) => self.settings = *settings,
-            Event::Withdrawn(_) | Event::Timer(_) | Event::Probed { .. } | Event::First(_) => {}
+            Event::OperatorDrained(_) | Event::Timer(_) | Event::Probed { .. } | Event::StreamStarted(_) => {}
         }
     }
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::chance::Chance;
 use crate::{millis, seconds, Nanos};
-use calicosaddle::api::{Class, Effect, Group, Settings};
+use calicosaddle::api::{Class, DedupScope, RetrySafety, Settings};
 use pipeline::{Limits, Placing, Rest};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -792,34 +792,37 @@
     /// What a proxy of this installation is told at start.
     pub fn settings(&self, proxy: usize) -> Settings {
         let (t, kind) = (&self.topology, &self.kinds[0]);
-        let class = |ask: &Ask, effect: Effect| Class {
-            aim: millis(ask.aim_ms),
+        let class = |ask: &Ask, effect: RetrySafety| Class {
+            latency_target: millis(ask.aim_ms),
             deadline: millis(ask.deadline_ms),
-            effect,
-            group: Group::All,
+            retry_safety: effect,
+            dedup_scope: DedupScope::All,
             dedup_window: seconds(1.0),
             late_value: 0.0,
-            worth: ask.worth,
+            value: ask.worth,
             ..Class::default()
         };
         Settings {
-            classes: vec![class(&self.traffic.read, Effect::Safe), class(&self.traffic.write, Effect::Keyed)],
+            classes: vec![
+                class(&self.traffic.read, RetrySafety::Safe),
+                class(&self.traffic.write, RetrySafety::Keyed),
+            ],
             zone: (proxy % t.zones) as u32,
-            proxies: t.proxies as u32,
-            me: proxy as u32,
+            proxy_count: t.proxies as u32,
+            proxy_index: proxy as u32,
             max_attempts: t.max_attempts,
-            cancel: true,
-            second_copies: t.second_copies,
+            allow_cancel: true,
+            hedging: t.second_copies,
             max_retry_after: seconds(1.0),
             connect_timeout: millis(t.connect_timeout_ms),
-            cold_from: kind.cold_from,
-            cold: seconds(kind.cold_s),
-            fall_multiple: kind.fall_multiple,
-            fall: seconds(kind.fall_s),
-            origin_fall_multiple: self.origin.fall_multiple,
-            origin_fall: seconds(self.origin.fall_s),
+            slow_start_initial_fraction: kind.cold_from,
+            slow_start_duration: seconds(kind.cold_s),
+            overload_multiple: kind.fall_multiple,
+            overload_duration: seconds(kind.fall_s),
+            origin_overload_multiple: self.origin.fall_multiple,
+            origin_overload_duration: seconds(self.origin.fall_s),
             drain_grace: millis(500.0),
-            must_ask_in: seconds(10.0),
+            discovery_poll_interval: seconds(10.0),
             ..Settings::default()
         }
     }
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -131,8 +131,8 @@
     Ledger { to: u32, job: u32 },
     Reply { connection: usize, serial: u64, answer: Answer, more: Option<Answer> },
     Rested { connection: usize, serial: u64 },
-    List { proxy: usize, life: u32, kind: ListKind, entries: Rc<Vec<(u32, Entry)>> },
-    Publish(Rc<Vec<(u32, Entry)>>),
+    List { proxy: usize, life: u32, kind: ListKind, entries: Rc<Vec<(u32, ServerEntry)>> },
+    Publish(Rc<Vec<(u32, ServerEntry)>>),
     Do(Op),
     Copy(Step),
     Second,
@@ -299,7 +299,7 @@
             sim.boxes.push(CacheBox::new(server, i % t.zones, kind, told, 0, i < t.boxes));
             sim.by_server.insert(server, i as u32);
             sim.joined.push(i < t.boxes);
-            let entry = sim.entry(i as u32, State::Ready);
+            let entry = sim.entry(i as u32, ServerState::Ready);
             sim.discovery.entries.push((i < t.boxes).then_some(entry));
         }
         for (i, f) in faults.iter().enumerate() {
@@ -308,7 +308,7 @@
         for proxy in 0..t.proxies {
             sim.hosts[proxy].known = vec![Known::default(); count];
             for at in 0..t.boxes {
-                sim.hosts[proxy].known[at].state = Some(State::Ready);
+                sim.hosts[proxy].known[at].state = Some(ServerState::Ready);
             }
             sim.start(proxy);
         }
@@ -381,19 +381,19 @@
         a != b && (self.cut[a] > 0 || self.cut[b] > 0)
     }
 
-    fn entry(&self, at: u32, state: State) -> Entry {
+    fn entry(&self, at: u32, state: ServerState) -> ServerEntry {
         let one = &self.boxes[at as usize];
         let kind = &self.scenario.kinds[one.kind];
         let weight = kind.speed * kind.cores as f64;
         let base = &self.scenario.kinds[0];
-        Entry {
+        ServerEntry {
             server: one.server,
             zone: one.zone as u32,
             kind: one.kind as u32,
             cell: 0,
             state,
             weight: weight / (base.speed * base.cores as f64),
-            started: one.born,
+            started_at: one.born,
         }
     }
 
@@ -404,17 +404,17 @@
         let life = u64::from(host.life);
         let seed = Chance::new(self.seed, 1_000 + proxy as u64 + (life << 32)).bits();
         host.policy = Some((self.make)(proxy, &settings, seed));
-        self.copies.iter_mut().for_each(|c| c.start(proxy, settings.proxies, self.now));
+        self.copies.iter_mut().for_each(|c| c.start(proxy, settings.proxy_count, self.now));
         let mut entries = Vec::new();
         for (at, known) in self.hosts[proxy].known.clone().into_iter().enumerate() {
-            let Some(state) = known.state.filter(|s| *s != State::Gone) else { continue };
-            entries.push(Entry { started: known.started, ..self.entry(at as u32, state) });
-            if state == State::Draining {
+            let Some(state) = known.state.filter(|s| *s != ServerState::Removed) else { continue };
+            entries.push(ServerEntry { started_at: known.started, ..self.entry(at as u32, state) });
+            if state == ServerState::Draining {
                 // It knows of the drain from its start on.
                 self.hosts[proxy].told_drain.insert(at as u32, self.now);
             }
         }
-        self.hosts[proxy].events.push_back(Event::List { kind: ListKind::Cached, entries });
+        self.hosts[proxy].events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
         self.decide(proxy);
     }
 
@@ -521,7 +521,7 @@
             Op::Up(b) => {
                 if self.boxes[b as usize].down {
                     self.boxes[b as usize].starts(now);
-                    self.listed(&[b], State::Ready);
+                    self.listed(&[b], ServerState::Ready);
                 }
             }
             Op::Resets(b, part) => self.boxes[b as usize].resets = part,
@@ -529,7 +529,7 @@
             Op::Surplus(b, surplus) => self.boxes[b as usize].surplus = surplus,
             Op::Slows(b, span) => self.boxes[b as usize].slows = span,
             Op::Drain(b, on) => {
-                self.listed(&[b], if on { State::Draining } else { State::Ready });
+                self.listed(&[b], if on { ServerState::Draining } else { ServerState::Ready });
                 if on {
                     self.at(now + DRAINS, Ev::Do(Op::Refuses(b)));
                 } else {
@@ -538,7 +538,7 @@
             }
             Op::Refuses(b) => {
                 let listed = self.discovery.entries[b as usize].as_ref();
-                let drains = listed.is_some_and(|e| e.state == State::Draining);
+                let drains = listed.is_some_and(|e| e.state == ServerState::Draining);
                 let one = &mut self.boxes[b as usize];
                 one.draining = drains && !one.down;
             }
@@ -547,7 +547,7 @@
                     self.joined[*b as usize] = true;
                     self.boxes[*b as usize].starts(now);
                 }
-                self.listed(&new, State::Ready);
+                self.listed(&new, ServerState::Ready);
             }
             Op::Cut(zone, on) => {
                 self.cut[zone] = if on { self.cut[zone] + 1 } else { self.cut[zone].saturating_sub(1) };
@@ -615,13 +615,13 @@
 
     // ---- discovery ----
 
-    fn listed(&mut self, which: &[u32], state: State) {
-        let entries: Vec<(u32, Entry)> = which.iter().map(|b| (*b, self.entry(*b, state))).collect();
+    fn listed(&mut self, which: &[u32], state: ServerState) {
+        let entries: Vec<(u32, ServerEntry)> = which.iter().map(|b| (*b, self.entry(*b, state))).collect();
         // Proxies of even numbers hear first; the rest of the lag is each one's own.
         self.at(self.now + self.discovery.lag(0), Ev::Publish(Rc::new(entries)));
     }
 
-    fn publish(&mut self, entries: &Rc<Vec<(u32, Entry)>>) {
+    fn publish(&mut self, entries: &Rc<Vec<(u32, ServerEntry)>>) {
         for (b, entry) in entries.iter() {
             self.discovery.entries[*b as usize] = Some(entry.clone());
         }
@@ -651,11 +651,11 @@
     }
 
     fn list_failed(&mut self, proxy: usize) {
-        self.hosts[proxy].events.push_back(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+        self.hosts[proxy].events.push_back(Event::ServerList { kind: ListKind::Failed, entries: Vec::new() });
         self.decide(proxy);
     }
 
-    fn hear(&mut self, proxy: usize, kind: ListKind, entries: &[(u32, Entry)]) {
+    fn hear(&mut self, proxy: usize, kind: ListKind, entries: &[(u32, ServerEntry)]) {
         if kind == ListKind::Failed {
             self.list_failed(proxy);
             return;
@@ -663,15 +663,15 @@
         let now = self.now;
         let host = &mut self.hosts[proxy];
         for (b, entry) in entries {
-            host.known[*b as usize] = Known { state: Some(entry.state), started: entry.started };
-            if entry.state == State::Ready {
+            host.known[*b as usize] = Known { state: Some(entry.state), started: entry.started_at };
+            if entry.state == ServerState::Ready {
                 host.told_drain.remove(b);
             } else {
                 host.told_drain.entry(*b).or_insert(now);
             }
         }
         let entries = entries.iter().map(|(_, e)| e.clone()).collect();
-        host.events.push_back(Event::List { kind, entries });
+        host.events.push_back(Event::ServerList { kind, entries });
         self.decide(proxy);
     }
 
@@ -822,7 +822,7 @@
             self.breaches.add(Rule::ColdBox, self.now, Some(request), || format!("box {to} falls"));
         }
         if crowded {
-            self.reply(at, Status::Full, None);
+            self.reply(at, Status::Rejected, None);
         } else {
             self.take(to, at);
         }
@@ -838,7 +838,7 @@
         } else if one.silent > 0 {
             one.held.push(at);
         } else if one.draining || !one.has_room() {
-            self.reply(at, Status::Full, None);
+            self.reply(at, Status::Rejected, None);
         } else if one.has_core() {
             self.begin(to, at);
         } else {
--- a/crates/model/tests/long.rs
+++ b/crates/model/tests/long.rs
@@ -23,7 +23,7 @@
 impl Policy for Weighed {
     fn handle(&mut self, now: Nanos, event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
         let given = match &event {
-            Event::List { entries, .. } => size_of_val(&entries[..]) as isize,
+            Event::ServerList { entries, .. } => size_of_val(&entries[..]) as isize,
             _ => 0,
         };
         // Actions are its caller's: room is made before.
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -1,7 +1,7 @@
 //! Runs of the model: the same seed is the same run, rules that are broken on purpose are found by name, and what
 //! goes wrong shows.
 
-use calicosaddle::api::{Action, Event, ListKind, Nanos, RequestId, ServerId, State, Status};
+use calicosaddle::api::{Action, Event, ListKind, Nanos, RequestId, ServerId, ServerState, Status};
 use model::{make, run, run_with, Options, Policy, Rule, Scenario, Summary, Truth};
 use std::collections::HashMap;
 
@@ -73,15 +73,15 @@
 
 impl Policy for Wrong {
     fn handle(&mut self, now: Nanos, mut event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
-        if let Event::List { kind, entries } = &mut event {
+        if let Event::ServerList { kind, entries } = &mut event {
             if *kind != ListKind::Delta {
                 self.servers.clear();
             }
             for e in entries.iter_mut() {
                 self.servers.retain(|(_, s)| *s != e.server);
-                self.servers.push((e.started, e.server));
-                if self.how == How::IgnoresDrains && e.state == State::Draining {
-                    e.state = State::Ready;
+                self.servers.push((e.started_at, e.server));
+                if self.how == How::IgnoresDrains && e.state == ServerState::Draining {
+                    e.state = ServerState::Ready;
                 }
             }
             self.servers.sort_unstable();
--- a/crates/proxy/src/boxes/choose.rs
+++ b/crates/proxy/src/boxes/choose.rs
@@ -13,12 +13,12 @@
     /// Returns the connection, and what it is if it is new; nothing if the attempt ended at once.
     pub fn send(&mut self, server: ServerId, job: Job, now: Nanos) -> Option<(usize, Option<Begun>)> {
         if !self.nodes.contains_key(&server) {
-            self.end(job, Status::Moot);
+            self.end(job, Status::NotSent);
             return None;
         }
         let Some((key, new)) = self.place(server, &job, now) else {
             let connected = self.nodes.get(&server).is_some_and(|n| !n.connections.is_empty());
-            self.end(job, Status::unplaced(connected));
+            self.end(job, Status::without_connection(connected));
             return None;
         };
         self.put(key, job, now);
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -15,7 +15,7 @@
 use crate::platform::discovery::{Names, News as List};
 use crate::turn::Source;
 use addresses::{Address, Id, Race};
-use calicosaddle::api::{Nanos, RequestId, ServerId, State, Status};
+use calicosaddle::api::{Nanos, RequestId, ServerId, ServerState, Status};
 use connection::Connection;
 pub use connection::Job;
 use control::message::{BoxStatus, Pipelines, DEPTHS};
@@ -252,7 +252,7 @@
 
     /// Takes over what a configuration says of connections.
     pub fn configure(&mut self, config: &Config) {
-        let share = NODE_CONNECTIONS / config.settings.proxies.max(1) as usize;
+        let share = NODE_CONNECTIONS / config.settings.proxy_count.max(1) as usize;
         self.per_node = share.clamp(1, MOST_CONNECTIONS);
         // What can't hold with it has been refused before. What was learned of rests is kept.
         let learned = self.pipes.rest;
@@ -299,7 +299,7 @@
 
     /// How many nodes are listed, how many take work, and how many connections and attempts there are.
     pub fn counts(&self) -> (usize, usize, usize, usize) {
-        let listed = self.nodes.values().filter(|n| n.entry.state != State::Gone).count();
+        let listed = self.nodes.values().filter(|n| n.entry.state != ServerState::Removed).count();
         let usable = self.nodes.values().filter(|n| n.takes()).count();
         let attempts = self.all.iter().map(|(_, c)| c.depth()).sum();
         (listed, usable, self.all.len(), attempts)
@@ -327,7 +327,7 @@
 
     /// The nodes in discovery's form, by name.
     pub fn hosts(&self, names: &Names) -> Vec<Value> {
-        let there = |n: &&Node| n.entry.state != State::Gone && !n.book.is_empty();
+        let there = |n: &&Node| n.entry.state != ServerState::Removed && !n.book.is_empty();
         let mut all: Vec<&Node> = self.nodes.values().filter(there).collect();
         all.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         let name = |all: &[String], i: u32| all.get(i as usize).map_or(Value::Null, |n| json!(n));
@@ -337,7 +337,7 @@
             let dial = n.book.addresses().find(|a| matches!(a, Address::Tcp(_))).map(Address::to_string);
             let mut host = json!({"host": n.name, "dial": dial, "site": name(&names.zones, e.zone),
                 "class": name(&names.kinds, e.kind), "block": e.cell, "health": word(e.state),
-                "share": e.weight, "born_ms": e.started / MS});
+                "share": e.weight, "born_ms": e.started_at / MS});
             if dials.len() != 1 || dial.is_none() {
                 host["dials"] = json!(dials);
             }
@@ -408,7 +408,7 @@
             let left: Vec<ServerId> = self.nodes.keys().copied().filter(|id| !named.contains(id)).collect();
             for id in left {
                 self.nodes.entry(id).and_modify(|n| {
-                    n.entry.state = State::Gone;
+                    n.entry.state = ServerState::Removed;
                     n.mark(now);
                 });
                 self.close_idle(id);
@@ -420,14 +420,14 @@
             let new = || Node::new(host.name.clone(), e.clone(), withdrawn);
             let node = self.nodes.entry(e.server).or_insert_with(new);
             // Idle connections to a place or a process that the node has left serve nobody.
-            let told = !host.dials.is_empty() || e.state != State::Gone;
-            let moved = (told && node.book.take(&host.dials, now)) || node.entry.started != e.started;
+            let told = !host.dials.is_empty() || e.state != ServerState::Removed;
+            let moved = (told && node.book.take(&host.dials, now)) || node.entry.started_at != e.started_at;
             if moved && !host.faults.is_empty() {
                 eprintln!("{}: addresses dropped: {}", host.name, host.faults.join("; "));
             }
             node.entry = e.clone();
             node.mark(now);
-            if moved || e.state == State::Gone {
+            if moved || e.state == ServerState::Removed {
                 self.close_idle(e.server);
             }
         }
@@ -438,7 +438,7 @@
     fn forget(&mut self) {
         let past = &mut self.past;
         self.nodes.retain(|_, n| {
-            let stays = n.entry.state != State::Gone || !n.connections.is_empty();
+            let stays = n.entry.state != ServerState::Removed || !n.connections.is_empty();
             if !stays {
                 past.add(&n.counts);
             }
@@ -739,7 +739,7 @@
     /// Ends a connection whose reply can't be read. The attempt that it was for may have run, and so may those
     /// that wait behind it.
     fn spoilt(&mut self, key: usize) {
-        self.end_all(key, Status::Spoilt);
+        self.end_all(key, Status::Malformed);
     }
 
     /// Drives a connection as far as its socket allows, up to a bound.
@@ -886,7 +886,7 @@
                     let took = (!answered.behind).then_some(answered.took);
                     News::Served(id, attempt, reply, bytes, took)
                 }
-                Kind::Busy => News::Ended(id, attempt, Status::Full, reply),
+                Kind::Busy => News::Ended(id, attempt, Status::Rejected, reply),
                 Kind::Failed => News::Ended(id, attempt, Status::Error, reply),
             });
         }
@@ -978,7 +978,7 @@
     use crate::platform::config::tests::sample;
     use crate::platform::discovery::Host;
     use crate::request::tests::query;
-    use calicosaddle::api::Entry;
+    use calicosaddle::api::ServerEntry;
     use std::io::Write;
     use std::net::TcpListener;
     use std::time::{Duration, Instant};
@@ -988,7 +988,7 @@
         Boxes::new(config, 8, registry, &operator::Operator::default(), None)
     }
 
-    fn host(entry: Entry, listener: &TcpListener) -> Host {
+    fn host(entry: ServerEntry, listener: &TcpListener) -> Host {
         let address = listener.local_addr().expect("an address");
         Host { name: "s-7".into(), entry, dials: vec![Address::Tcp(address)], faults: Vec::new() }
     }
@@ -996,7 +996,7 @@
     /// Before one node, 7, that this listener stands for.
     fn before(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
         let mut boxes = made(&sample(), poll);
-        let hosts = vec![host(Entry { server: 7, ..Entry::default() }, listener)];
+        let hosts = vec![host(ServerEntry { server: 7, ..ServerEntry::default() }, listener)];
         boxes.list(&List { version: 1, whole: true, hosts }, 0);
         boxes
     }
@@ -1114,7 +1114,7 @@
             assert!(boxes.send(7, Job { attempt, ..job(&sample()) }, 0).is_none());
             let told = boxes.news();
             assert!(
-                matches!(told, Some(News::Ended(1, n, Status::Moot, _)) if n == attempt),
+                matches!(told, Some(News::Ended(1, n, Status::NotSent, _)) if n == attempt),
                 "{attempt}: {told:?}"
             );
         }
@@ -1132,7 +1132,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let poll = mio::Poll::new().expect("a poll");
         let mut boxes = made(&sample(), &poll);
-        let mut host = host(Entry { server: 7, ..Entry::default() }, &listener);
+        let mut host = host(ServerEntry { server: 7, ..ServerEntry::default() }, &listener);
         host.dials.insert(0, Address::Tcp(at));
         boxes.list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
         let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, job(&sample()), 0)).collect();
@@ -1167,7 +1167,7 @@
                 boxes.withdraw(&[7], 0);
             }
             boxes.ready(key, false, &mut [0; 64], MS);
-            let ended = matches!(boxes.news(), Some(News::Ended(1, 0, Status::Moot, _)));
+            let ended = matches!(boxes.news(), Some(News::Ended(1, 0, Status::NotSent, _)));
             assert_eq!((ended, boxes.nodes[&7].sent), (withdrawn, u64::from(!withdrawn)));
         }
     }
--- a/crates/proxy/src/boxes/node.rs
+++ b/crates/proxy/src/boxes/node.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use addresses::{Book, Id};
-use calicosaddle::api::{Entry, Nanos, State};
+use calicosaddle::api::{Nanos, ServerEntry, ServerState};
 use control::message::Pipelines;
 use pipeline::{Room, Times};
 use resp::Protocol;
@@ -16,7 +16,7 @@
     /// As discovery calls it.
     pub name: Box<str>,
     /// As the list has it.
-    pub entry: Entry,
+    pub entry: ServerEntry,
     /// An operator drained it.
     pub withdrawn: bool,
     /// Since when it is known here that it is to get nothing new.
@@ -43,7 +43,7 @@
 
 impl Node {
     /// A node that was just told of.
-    pub fn new(name: Box<str>, entry: Entry, withdrawn: bool) -> Self {
+    pub fn new(name: Box<str>, entry: ServerEntry, withdrawn: bool) -> Self {
         let book = Book::new(entry.server);
         Node {
             name,
@@ -74,7 +74,7 @@
 
     /// Takes work: discovery and the operators both say so.
     pub fn takes(&self) -> bool {
-        self.entry.state == State::Ready && !self.withdrawn
+        self.entry.state == ServerState::Ready && !self.withdrawn
     }
 
     /// May a connection that is up carry something new: over its address, and over this one if only that will do?
@@ -87,12 +87,12 @@
 
     /// Greet it in RESP3? One that refused is asked again once it has started anew.
     pub fn greets(&self) -> bool {
-        self.two != Some(self.entry.started)
+        self.two != Some(self.entry.started_at)
     }
 
     /// It answered a greeting, with the protocol that it speaks from then on; false if that was known.
     pub fn greeted(&mut self, protocol: Protocol) -> bool {
-        let two = (protocol == Protocol::Two).then_some(self.entry.started);
+        let two = (protocol == Protocol::Two).then_some(self.entry.started_at);
         self.unheard = 0;
         std::mem::replace(&mut self.two, two) != two
     }
@@ -117,11 +117,11 @@
 }
 
 /// A state as discovery names it.
-pub fn word(state: State) -> &'static str {
+pub fn word(state: ServerState) -> &'static str {
     match state {
-        State::Ready => "up",
-        State::Draining => "draining",
-        State::Gone => "removed",
+        ServerState::Ready => "up",
+        ServerState::Draining => "draining",
+        ServerState::Removed => "removed",
     }
 }
 
@@ -131,7 +131,7 @@
 
     #[test]
     fn a_node_is_greeted_until_it_refuses_or_is_silent_too_often_and_again_once_it_starts_anew() {
-        let mut node = Node::new("s-7".into(), Entry::default(), false);
+        let mut node = Node::new("s-7".into(), ServerEntry::default(), false);
         (1..UNHEARD).for_each(|_| node.left_unheard());
         assert!(node.greets());
         // An answer in between shows that it reads greetings.
@@ -140,7 +140,7 @@
         assert!(node.greets());
         node.left_unheard();
         assert!(!node.greets());
-        node.entry.started = 5;
+        node.entry.started_at = 5;
         assert!(node.greets() && node.greeted(Protocol::Two) && !node.greets());
         assert!(!node.greeted(Protocol::Two));
     }
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -130,7 +130,7 @@
             let listed = node.as_ref().is_some_and(|n| n.book.address(c.link.over).is_some());
             // Danger: while it waited, its node may have begun to drain or moved, and its time may have gone by.
             if !ready || !listed || job.until <= now {
-                let status = if ready { Status::ConnectFailed } else { Status::Moot };
+                let status = if ready { Status::ConnectFailed } else { Status::NotSent };
                 self.news.push_back(News::Ended(job.id, job.attempt, status, Reply::default()));
                 continue;
             }
--- a/crates/proxy/src/copies.rs
+++ b/crates/proxy/src/copies.rs
@@ -12,7 +12,7 @@
 use crate::{Proxy, MS};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use calicosaddle::api::{server_id, Effect, Nanos, RequestId};
+use calicosaddle::api::{server_id, Nanos, RequestId, RetrySafety};
 use control::message::{Code, Copying, Error};
 use control::State;
 use mio::net::TcpStream;
@@ -44,7 +44,7 @@
     for name in &told.classes {
         match config.classes.iter().position(|c| c == name) {
             None => faults.push(format!("shadow.classes: the settings have no category {name:?}")),
-            Some(at) if config.settings.classes[at].effect != Effect::Safe => {
+            Some(at) if config.settings.classes[at].retry_safety != RetrySafety::Safe => {
                 faults.push(format!("shadow.classes: {name:?} is not safe to repeat"));
             }
             Some(at) => classes[at] = true,
@@ -107,7 +107,7 @@
 
 /// How many proxies there are, and which of them this is.
 fn proxies(config: &Config) -> [u32; 2] {
-    [config.settings.proxies.max(1), config.settings.me]
+    [config.settings.proxy_count.max(1), config.settings.proxy_index]
 }
 
 fn is(dial: &addresses::Address, candidate: SocketAddr) -> bool {
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -144,7 +144,7 @@
     pub(crate) fn withdraw(&mut self) {
         let servers: Vec<ServerId> = self.kept.state.boxes.iter().map(|name| server_id(name)).collect();
         self.boxes.withdraw(&servers, self.turn.now);
-        self.events.push_back(Event::Withdrawn(servers));
+        self.events.push_back(Event::OperatorDrained(servers));
     }
 
     fn drain(&mut self) -> Result<(), Error> {
@@ -236,7 +236,7 @@
             backend_calls: self.boxes.written(),
             inflight: self.requests.unanswered() + self.passing.len(),
             hosts_listed: self.boxes.counts().0,
-            hosts_down: self.brain.avoided(self.turn.now),
+            hosts_down: self.brain.unavailable_servers(self.turn.now),
         };
         self.observers.figures.write(&self.config.classes, &now)
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -22,7 +22,7 @@
 
 use boxes::Boxes;
 use calicosaddle::api::*;
-use calicosaddle::Brain;
+use calicosaddle::Balancer;
 use config::Config;
 use copies::Copies;
 use front::admin::{self, Admin};
@@ -62,7 +62,7 @@
     config: Config,
     turn: Turn,
     signals: Signals,
-    brain: Brain,
+    brain: Balancer,
     clients: Clients,
     requests: Table,
     /// Long values that are being passed on.
@@ -141,7 +141,7 @@
         let calls = std::array::from_fn(|call| Source::Discovery(call).token());
         let mut proxy = Proxy {
             signals,
-            brain: Brain::new(config.settings.clone(), config.seed),
+            brain: Balancer::new(config.settings.clone(), config.seed),
             clients,
             requests: Table::default(),
             passing: passing::Passing::default(),
@@ -170,7 +170,7 @@
         };
         proxy.withdraw();
         let entries = known.map(|k| proxy.take_list(k)).unwrap_or_default();
-        proxy.events.push_back(Event::List { kind: ListKind::Cached, entries });
+        proxy.events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
         proxy.decide();
         proxy.turn.timers.set(now + SWEEP, Due::Sweep);
         proxy.sweep_due = now + SWEEP;
@@ -330,7 +330,7 @@
                 self.discovery_failed = false;
                 let kind = if news.whole { ListKind::Full } else { ListKind::Delta };
                 let entries = self.take_list(news);
-                self.events.push_back(Event::List { kind, entries });
+                self.events.push_back(Event::ServerList { kind, entries });
             }
             Some(Answer::Failed(e)) => {
                 let row = std::mem::replace(&mut self.discovery_failed, true);
@@ -340,7 +340,7 @@
         }
     }
 
-    fn take_list(&mut self, news: discovery::News) -> Vec<Entry> {
+    fn take_list(&mut self, news: discovery::News) -> Vec<ServerEntry> {
         self.boxes.list(&news, self.turn.now);
         self.look_for_candidates();
         self.observers.tell(Told::List);
--- a/crates/proxy/src/life.rs
+++ b/crates/proxy/src/life.rs
@@ -24,7 +24,7 @@
                 // Danger: a client that only ended its sending waits for its answer, and one that left wants
                 // nothing more to be done. An attempt that is out is let finish, no other follows it.
                 if self.requests.leave(id) {
-                    self.events.push_back(Event::Expired(id));
+                    self.events.push_back(Event::Abandoned(id));
                 }
             }
             clients::News::Wants(id) => self.wanted(id),
@@ -34,7 +34,7 @@
                     return;
                 }
                 self.observers.tell(Told::Abandoned);
-                self.events.push_back(Event::Expired(id));
+                self.events.push_back(Event::Abandoned(id));
                 self.end_attempts(id, Status::Cancelled);
                 self.requests.retire(id);
             }
@@ -66,7 +66,7 @@
     pub(crate) fn decide(&mut self) {
         while let Some(mut event) = self.events.pop_front() {
             if let Event::Outcome(o) = &mut event {
-                o.last = !self.requests.waits(o.id);
+                o.request_complete = !self.requests.waits(o.id);
                 self.requests.retire(o.id);
             }
             let mut actions = std::mem::take(&mut self.actions);
@@ -90,11 +90,11 @@
             // This module asks for no probes; the design has no use for them.
             Action::Probe(server) => self.events.push_back(Event::Probed {
                 server,
-                status: Status::Moot,
+                status: Status::NotSent,
                 elapsed: 0,
-                load: Vec::new(),
+                load_report: Vec::new(),
             }),
-            Action::Close(server) => self.boxes.close_idle(server),
+            Action::CloseIdle(server) => self.boxes.close_idle(server),
             // That is for hosts whose subscription goes on by itself; here each call is planned.
             Action::Subscribe => {}
         }
@@ -109,7 +109,7 @@
         self.observers.tell(Told::Attempt);
         let attempt = begun.number;
         if begun.over {
-            self.end_attempt(id, attempt, Status::Moot);
+            self.end_attempt(id, attempt, Status::NotSent);
             return;
         }
         let mut until = begun.until;
@@ -117,7 +117,8 @@
             until = now + timeout;
             self.turn.timers.set(until, Due::Attempt(id, attempt));
         }
-        let promised = self.config.settings.classes.get(begun.query.class as usize).map_or(0, |c| c.aim);
+        let promised =
+            self.config.settings.classes.get(begun.query.class as usize).map_or(0, |c| c.latency_target);
         let aim = begun.until.saturating_sub(begun.query.wait) + promised;
         let aim = if promised == 0 { until } else { aim.min(until) };
         let job = Job { id, attempt, query: begun.query, aim, until };
@@ -164,7 +165,7 @@
         self.settle();
         // The module answers when its last attempt has timed out; this holds should it ever not.
         if self.requests.waits(id) {
-            self.events.push_back(Event::Expired(id));
+            self.events.push_back(Event::Abandoned(id));
             self.answer(id, Answer::Failed, Final::Failed);
         }
     }
@@ -210,9 +211,9 @@
             server: a.server,
             status,
             elapsed: self.turn.now.saturating_sub(a.sent),
-            last: false,
+            request_complete: false,
             hit: reply.hit(),
-            load: load(&reply.load, &self.config.columns),
+            load_report: load(&reply.load, &self.config.columns),
         }));
         // The module is no longer concerned with it, and nothing is under way for it.
         if self.requests.stranded(id) {
--- a/crates/proxy/src/platform/config.rs
+++ b/crates/proxy/src/platform/config.rs
@@ -159,7 +159,7 @@
         let (s, n) = (&self.settings, &new.settings);
         let effects = |c: &Config| -> Vec<_> {
             let classes = c.settings.classes.iter();
-            classes.map(|k| (k.effect, k.group, k.dedup_window, k.stream)).collect()
+            classes.map(|k| (k.retry_safety, k.dedup_scope, k.dedup_window, k.stream)).collect()
         };
         let list = |all: &[(&str, bool)]| {
             let named = all.iter().filter(|(_, changed)| *changed);
@@ -179,9 +179,9 @@
             ("settings.machine_types", self.names.kinds != new.names.kinds),
             ("settings.report.columns", self.columns != new.columns),
             ("settings.zone", s.zone != n.zone),
-            ("settings.self_index", s.me != n.me),
-            ("settings.discovery", s.must_ask != n.must_ask),
-            ("settings.family_info", (s.aside, s.origin_kind) != (n.aside, n.origin_kind)),
+            ("settings.self_index", s.proxy_index != n.proxy_index),
+            ("settings.discovery", s.poll_discovery != n.poll_discovery),
+            ("settings.family_info", (s.cache_aside, s.origin_kind) != (n.cache_aside, n.origin_kind)),
         ]);
         let now = list(&[
             ("discovery", self.discovery != new.discovery),
@@ -259,14 +259,17 @@
     #[test]
     fn settings_reach_the_module_through_its_own_parser() {
         let c = sample();
-        assert_eq!((c.settings.classes.len(), c.settings.max_attempts, c.settings.must_ask), (2, 5, true));
-        assert!(c.settings.probe && c.settings.report.len() == 1);
+        assert_eq!(
+            (c.settings.classes.len(), c.settings.max_attempts, c.settings.poll_discovery),
+            (2, 5, true)
+        );
+        assert!(c.settings.allow_probe && c.settings.load_report_columns.len() == 1);
         assert_eq!((c.longest, c.idle, c.seed), (1_000 * MS, 4_000 * MS, 0x8c1f_30d2_7a5b_e964));
         assert_eq!(c.classes, ["read", "put"]);
         let known = c.known.expect("known");
         let host = &known.hosts[0];
         assert_eq!(
-            (known.version, host.entry.zone, host.entry.kind, host.entry.started),
+            (known.version, host.entry.zone, host.entry.kind, host.entry.started_at),
             (41, 1, 1, 12 * MS)
         );
     }
--- a/crates/proxy/src/platform/discovery.rs
+++ b/crates/proxy/src/platform/discovery.rs
@@ -6,7 +6,7 @@
 
 use super::config::Config;
 use addresses::Address;
-use calicosaddle::api::{server_id, Entry, Nanos, State};
+use calicosaddle::api::{server_id, Nanos, ServerEntry, ServerState};
 use freshness::{Follower, Terms};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -53,7 +53,7 @@
     /// Its name, the same at every proxy.
     pub name: Box<str>,
     /// What the module is told of it.
-    pub entry: Entry,
+    pub entry: ServerEntry,
     /// Where it is, in the order of the list; a removed one may have no address.
     pub dials: Vec<Address>,
     /// What stood among its addresses and is none.
@@ -110,9 +110,9 @@
 fn read_host(json: &Value, names: &Names) -> Result<Host, ListError> {
     let host = json["host"].as_str().filter(|h| !h.is_empty()).ok_or(ListError::Field("host"))?;
     let state = match json["health"].as_str() {
-        Some("up") => State::Ready,
-        Some("draining") => State::Draining,
-        Some("removed") => State::Gone,
+        Some("up") => ServerState::Ready,
+        Some("draining") => ServerState::Draining,
+        Some("removed") => ServerState::Removed,
         // Danger: to take an unknown state for a known one may send work where none is wanted.
         _ => return Err(ListError::Field("health")),
     };
@@ -122,7 +122,7 @@
         Some(all) => addresses::read(all.iter().map(|d| d.as_str().unwrap_or_default())),
         None => {
             let dial: Option<SocketAddr> = json["dial"].as_str().and_then(|d| d.parse().ok());
-            if dial.is_none() && state != State::Gone {
+            if dial.is_none() && state != ServerState::Removed {
                 return Err(ListError::Field("dial"));
             }
             (dial.map(Address::Tcp).into_iter().collect(), Vec::new())
@@ -134,14 +134,14 @@
         let at = name.as_str().and_then(|n| all.iter().position(|z| z == n)).map(|i| i as u64);
         at.or(name.as_u64()).map_or(u32::MAX, |i| i as u32)
     };
-    let entry = Entry {
+    let entry = ServerEntry {
         server: server_id(host),
         zone: place(&names.zones, &json["site"]),
         kind: place(&names.kinds, &json["class"]),
         cell: number("block") as u32,
         state,
         weight: json["share"].as_f64().unwrap_or(1.0),
-        started: number("born_ms").saturating_mul(MS),
+        started_at: number("born_ms").saturating_mul(MS),
     };
     Ok(Host { name: host.into(), entry, dials, faults })
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -2,7 +2,7 @@
 //! and until nothing is under way for them. No sockets; connections are numbers here.
 
 use crate::platform::config::Config;
-use calicosaddle::api::{server_id, Effect, Nanos, Request, RequestId, ServerId};
+use calicosaddle::api::{server_id, Nanos, Request, RequestId, RetrySafety, ServerId};
 use resp::{Command, Protocol, Reply};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -87,7 +87,7 @@
         let class = class.ok_or("-ERR unknown class\r\n")?;
         let (wait, wait_at) = wait.ok_or("-ERR d is missing\r\n")?;
         // Danger: cache nodes know a repeat by its key; a keyed write without one could run twice.
-        let keyed = config.settings.classes.get(class).is_some_and(|c| c.effect == Effect::Keyed);
+        let keyed = config.settings.classes.get(class).is_some_and(|c| c.retry_safety == RetrySafety::Keyed);
         if keyed && !key {
             return Err("-ERR k is missing\r\n");
         }
@@ -258,8 +258,8 @@
             tenant: query.tenant,
             key: Some(query.key),
             remaining: until.saturating_sub(now),
-            hint: query.hint,
-            repeat: query.repeat,
+            expected_work: query.hint,
+            is_retry: query.repeat,
             write: query.write,
         };
         let open = Open { place, query, until, attempts: 0, out: Vec::new(), answered: false, left: false };
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -18,7 +18,7 @@
         count: usize,
     },
     /// One entry of the list, with the server's name.
-    Entry(String, Entry),
+    Entry(String, ServerEntry),
     /// An instance starts.
     New {
         /// Instance.
@@ -75,12 +75,12 @@
     Ok(match part(p, "reason")? {
         "done" => Status::Ok,
         "err" => Status::Error,
-        "busy" => Status::Full,
+        "busy" => Status::Rejected,
         "etimedout" => Status::Timeout,
         "econnrefused" => Status::ConnectFailed,
         "econnreset" => Status::Reset,
         "ecanceled" => Status::Cancelled,
-        "skipped" => Status::Moot,
+        "skipped" => Status::NotSent,
         "enoent" => Status::Miss,
         v => return Err(format!("reason is unknown: {v:?}")),
     })
@@ -120,11 +120,11 @@
                 r.key = Some(parsed.map_err(|_| format!("path_key is not hex: {key:?}"))?);
             }
             r.remaining = time(p, "remaining_ns")?;
-            r.hint = optional(p, "estimate_ns")?;
+            r.expected_work = optional(p, "estimate_ns")?;
             let _size: Option<f64> = optional(p, "object_size")?;
             let flags: u64 = optional(p, "flags")?.unwrap_or(0);
-            r.hint = r.hint.filter(|_| flags & 1 != 0);
-            r.repeat = flags & 2 != 0;
+            r.expected_work = r.expected_work.filter(|_| flags & 1 != 0);
+            r.is_retry = flags & 2 != 0;
             r.write = flags & 4 != 0;
             Line::Event(instance, Event::Arrival(r))
         }
@@ -136,21 +136,21 @@
                 server: server_id(part(p, "node")?),
                 status: status(p)?,
                 elapsed: time(p, "elapsed_ns")?,
-                last: part(p, "final")? == "1",
+                request_complete: part(p, "final")? == "1",
                 hit: optional::<u32>(p, "note")?.filter(|n| *n > 0).map(|n| n == 1),
-                load: load(p)?,
+                load_report: load(p)?,
             }),
         ),
         "tick_due" => Line::Event(instance(p)?, Event::Timer(number(p, "handle")?)),
-        "expired" => Line::Event(instance(p)?, Event::Expired(number(p, "corr")?)),
-        "first" => Line::Event(instance(p)?, Event::First(number(p, "corr")?)),
+        "expired" => Line::Event(instance(p)?, Event::Abandoned(number(p, "corr")?)),
+        "first" => Line::Event(instance(p)?, Event::StreamStarted(number(p, "corr")?)),
         "sampled" => Line::Event(
             instance(p)?,
             Event::Probed {
                 server: server_id(part(p, "node")?),
                 status: status(p)?,
                 elapsed: time(p, "elapsed_ns")?,
-                load: load(p)?,
+                load_report: load(p)?,
             },
         ),
         "backends_changed" => {
@@ -179,14 +179,14 @@
             let kind = optional(p, "generation_hw")?.unwrap_or(0);
             let cell = optional(p, "cluster")?.unwrap_or(0);
             let state = match part(p, "state")? {
-                "IN" => State::Ready,
-                "LAME" => State::Draining,
-                "OUT" => State::Gone,
+                "IN" => ServerState::Ready,
+                "LAME" => ServerState::Draining,
+                "OUT" => ServerState::Removed,
                 v => return Err(format!("state is unknown: {v:?}")),
             };
             let weight = optional(p, "share")?.unwrap_or(1.0);
             let started = optional(p, "launched_ns")?.unwrap_or(0);
-            Line::Entry(name, Entry { server, zone, kind, cell, state, weight, started })
+            Line::Entry(name, ServerEntry { server, zone, kind, cell, state, weight, started_at: started })
         }
         "page" => Line::Page { number: number(p, "buffer")?, count: number(p, "records")? },
         "frame" => Line::Frame(number(p, "clock")?),
@@ -236,25 +236,25 @@
                     continue;
                 };
                 match field {
-                    "promise_ns" => set(&mut c.aim, path, v)?,
+                    "promise_ns" => set(&mut c.latency_target, path, v)?,
                     "deadline_ns" => set(&mut c.deadline, path, v)?,
                     "dedup_window_ns" => set(&mut c.dedup_window, path, v)?,
                     "late_value" => set(&mut c.late_value, path, v)?,
-                    "value" => set(&mut c.worth, path, v)?,
+                    "value" => set(&mut c.value, path, v)?,
                     "stream" => set(&mut c.stream, path, v)?,
                     "effect" => {
-                        c.effect = match v {
-                            "safe" => Effect::Safe,
-                            "keyed" => Effect::Keyed,
+                        c.retry_safety = match v {
+                            "safe" => RetrySafety::Safe,
+                            "keyed" => RetrySafety::Keyed,
                             // Anything new is held to the strictest rule.
-                            _ => Effect::Unsafe,
+                            _ => RetrySafety::Unsafe,
                         }
                     }
                     "group" => {
-                        c.group = match v {
-                            "all" => Group::All,
-                            "zone" => Group::Zone,
-                            _ => Group::Cell,
+                        c.dedup_scope = match v {
+                            "all" => DedupScope::All,
+                            "zone" => DedupScope::Zone,
+                            _ => DedupScope::Cell,
                         }
                     }
                     _ => {}
@@ -267,19 +267,19 @@
             }
             _ => match path {
                 "zone" => set(&mut s.zone, path, v)?,
-                "n_instances" => set(&mut s.proxies, path, v)?,
-                "self_index" => set(&mut s.me, path, v)?,
-                "discovery" => s.must_ask = v == "subscribe",
-                "family_info.mode" => s.aside = v == "aside",
+                "n_instances" => set(&mut s.proxy_count, path, v)?,
+                "self_index" => set(&mut s.proxy_index, path, v)?,
+                "discovery" => s.poll_discovery = v == "subscribe",
+                "family_info.mode" => s.cache_aside = v == "aside",
                 "family_info.origin_kind" => set(&mut origin, path, v)?,
-                "family_info.origin_fall_multiple" => set(&mut s.origin_fall_multiple, path, v)?,
-                "family_info.origin_fall_ns" => s.origin_fall = whole(path, v)?,
-                "over_share_worth" => set(&mut s.over_share_worth, path, v)?,
-                "worth_by" => s.worth_by_work = v == "work",
+                "family_info.origin_fall_multiple" => set(&mut s.origin_overload_multiple, path, v)?,
+                "family_info.origin_fall_ns" => s.origin_overload_duration = whole(path, v)?,
+                "over_share_worth" => set(&mut s.over_quota_value, path, v)?,
+                "worth_by" => s.value_per_work = v == "work",
                 "caps.attempts_cap" => set(&mut s.max_attempts, path, v)?,
-                "caps.cancelling" => set(&mut s.cancel, path, v)?,
-                "caps.probing" => set(&mut s.probe, path, v)?,
-                "caps.second_copies" => set(&mut s.second_copies, path, v)?,
+                "caps.cancelling" => set(&mut s.allow_cancel, path, v)?,
+                "caps.probing" => set(&mut s.allow_probe, path, v)?,
+                "caps.second_copies" => set(&mut s.hedging, path, v)?,
                 "caps.max_retry_after_ns" => set(&mut s.max_retry_after, path, v)?,
                 "caps.connect_timeout_ns" => set(&mut s.connect_timeout, path, v)?,
                 "deductions.waste" => set(&mut s.waste_price, path, v)?,
@@ -287,14 +287,14 @@
                 "deductions.connection" => set(&mut s.connection_price, path, v)?,
                 "deductions.handshake" => set(&mut s.handshake_price, path, v)?,
                 "deductions.probe" => set(&mut s.probe_price, path, v)?,
-                "rules.cold_from" => set(&mut s.cold_from, path, v)?,
-                "rules.cold_ns" => set(&mut s.cold, path, v)?,
-                "rules.fall_multiple" => set(&mut s.fall_multiple, path, v)?,
-                "rules.fall_ns" => set(&mut s.fall, path, v)?,
+                "rules.cold_from" => set(&mut s.slow_start_initial_fraction, path, v)?,
+                "rules.cold_ns" => set(&mut s.slow_start_duration, path, v)?,
+                "rules.fall_multiple" => set(&mut s.overload_multiple, path, v)?,
+                "rules.fall_ns" => set(&mut s.overload_duration, path, v)?,
                 "rules.drain_grace_ns" => set(&mut s.drain_grace, path, v)?,
-                "rules.must_ask_in_ns" => set(&mut s.must_ask_in, path, v)?,
+                "rules.must_ask_in_ns" => set(&mut s.discovery_poll_interval, path, v)?,
                 "report.columns" => {
-                    s.report = v.split(',').filter(|c| !c.is_empty()).map(column).collect();
+                    s.load_report_columns = v.split(',').filter(|c| !c.is_empty()).map(column).collect();
                 }
                 _ => {}
             },
@@ -309,13 +309,13 @@
     Ok(n as Nanos)
 }
 
-fn column(name: &str) -> Report {
+fn column(name: &str) -> LoadColumn {
     match name {
-        "depth" => Report::Queue,
-        "concurrent" => Report::Inflight,
-        "mean_ms" => Report::LatencyMs,
-        "load_share" => Report::Util,
-        _ => Report::Other,
+        "depth" => LoadColumn::Queue,
+        "concurrent" => LoadColumn::Inflight,
+        "mean_ms" => LoadColumn::LatencyMs,
+        "load_share" => LoadColumn::Util,
+        _ => LoadColumn::Other,
     }
 }
 
@@ -331,7 +331,7 @@
         Action::Refuse { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(out, "abort {instance} {id}"),
         Action::Timer { token, delay } => writeln!(out, "arm {instance} {token} {delay}"),
-        Action::Close(server) => writeln!(out, "close {instance} {}", named(server)),
+        Action::CloseIdle(server) => writeln!(out, "close {instance} {}", named(server)),
         Action::Probe(server) => writeln!(out, "touch {instance} {}", named(server)),
         Action::Subscribe => writeln!(out, "stream_changes {instance} 1"),
     };
