--- a/crates/proxy/src/boxes/close.rs
+++ b/crates/proxy/src/boxes/close.rs
@@ -142,7 +142,7 @@
     /// Ends a connection whose reply can't be read. The attempt that it was for may have run, and so may those
     /// that wait behind it.
     pub(super) fn spoilt(&mut self, key: usize) {
-        self.end_all(key, Status::Spoilt);
+        self.end_all(key, Status::Malformed);
     }
 
     /// Something came on a connection that can't be used any more by that: nobody asked for it, or nobody waits. What is
--- a/crates/proxy/src/boxes/membership.rs
+++ b/crates/proxy/src/boxes/membership.rs
@@ -3,7 +3,7 @@
 use super::node::Node;
 use super::Boxes;
 use crate::platform::discovery::News as List;
-use calicosaddle::api::{Nanos, ServerId, State};
+use calicosaddle::api::{Nanos, ServerId, ServerState};
 use rustc_hash::FxHashSet;
 
 impl Boxes {
@@ -28,7 +28,7 @@
             let left: Vec<ServerId> = self.nodes.keys().copied().filter(|id| !named.contains(id)).collect();
             for id in left {
                 self.nodes.entry(id).and_modify(|n| {
-                    n.entry.state = State::Gone;
+                    n.entry.state = ServerState::Removed;
                     n.mark(now);
                 });
                 self.close_idle(id);
@@ -40,14 +40,14 @@
             let new = || Node::new(host.name.clone(), e.clone(), withdrawn);
             let node = self.nodes.entry(e.server).or_insert_with(new);
             // Idle connections to a place or a process that the node has left serve nobody.
-            let told = !host.dials.is_empty() || e.state != State::Gone;
-            let moved = (told && node.book.update(&host.dials, now)) || node.entry.started != e.started;
+            let told = !host.dials.is_empty() || e.state != ServerState::Removed;
+            let moved = (told && node.book.update(&host.dials, now)) || node.entry.started_at != e.started_at;
             if moved && !host.faults.is_empty() {
                 eprintln!("{}: addresses dropped: {}", host.name, host.faults.join("; "));
             }
             node.entry = e.clone();
             node.mark(now);
-            if moved || e.state == State::Gone {
+            if moved || e.state == ServerState::Removed {
                 self.close_idle(e.server);
             }
         }
@@ -58,7 +58,7 @@
     pub(super) fn forget(&mut self) {
         let past = &mut self.past;
         self.nodes.retain(|_, n| {
-            let stays = n.entry.state != State::Gone || !n.connections.is_empty();
+            let stays = n.entry.state != ServerState::Removed || !n.connections.is_empty();
             if !stays {
                 past.add(&n.counts);
             }
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -177,7 +177,7 @@
 
     /// Takes over what a configuration says of connections.
     pub fn configure(&mut self, config: &Config) {
-        let share = NODE_CONNECTIONS / config.settings.proxies.max(1) as usize;
+        let share = NODE_CONNECTIONS / config.settings.proxy_count.max(1) as usize;
         self.per_node = share.clamp(1, MOST_CONNECTIONS);
         // What can't hold with it has been refused before. What was learned of rests is kept.
         let learned = self.pipes.settle_delay;
@@ -249,7 +249,7 @@
     use crate::platform::discovery::{Host, News as List};
     use crate::request::tests::query;
     use addresses::Address;
-    use calicosaddle::api::Entry;
+    use calicosaddle::api::ServerEntry;
     use pipeline::{Pipeline, SettleDelay};
     use std::io::Write;
     use std::net::TcpListener;
@@ -260,7 +260,7 @@
         Boxes::new(config, 8, registry, &operator::Operator::default(), None)
     }
 
-    fn host(entry: Entry, listener: &TcpListener) -> Host {
+    fn host(entry: ServerEntry, listener: &TcpListener) -> Host {
         let address = listener.local_addr().expect("an address");
         Host { name: "s-7".into(), entry, dials: vec![Address::Tcp(address)], faults: Vec::new() }
     }
@@ -268,7 +268,7 @@
     /// Before one node, 7, that this listener stands for.
     fn before(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
         let mut boxes = made(&sample(), poll);
-        let hosts = vec![host(Entry { server: 7, ..Entry::default() }, listener)];
+        let hosts = vec![host(ServerEntry { server: 7, ..ServerEntry::default() }, listener)];
         boxes.apply_list(&List { version: 1, whole: true, hosts }, 0);
         boxes
     }
@@ -392,7 +392,7 @@
             assert!(boxes.send(7, QueuedAttempt { attempt, ..job(&sample()) }, 0).is_none());
             let told = boxes.next_event();
             assert!(
-                matches!(told, Some(NodeEvent::Ended(1, n, Status::Moot, _)) if n == attempt),
+                matches!(told, Some(NodeEvent::Ended(1, n, Status::NotSent, _)) if n == attempt),
                 "{attempt}: {told:?}"
             );
         }
@@ -410,7 +410,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let poll = mio::Poll::new().expect("a poll");
         let mut boxes = made(&sample(), &poll);
-        let mut host = host(Entry { server: 7, ..Entry::default() }, &listener);
+        let mut host = host(ServerEntry { server: 7, ..ServerEntry::default() }, &listener);
         host.dials.insert(0, Address::Tcp(at));
         boxes.apply_list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
         let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, job(&sample()), 0)).collect();
@@ -445,7 +445,7 @@
                 boxes.set_drained(&[7], 0);
             }
             boxes.ready(key, false, &mut [0; 64], MS);
-            let ended = matches!(boxes.next_event(), Some(NodeEvent::Ended(1, 0, Status::Moot, _)));
+            let ended = matches!(boxes.next_event(), Some(NodeEvent::Ended(1, 0, Status::NotSent, _)));
             assert_eq!((ended, boxes.nodes[&7].sent), (withdrawn, u64::from(!withdrawn)));
         }
     }
--- a/crates/proxy/src/boxes/read.rs
+++ b/crates/proxy/src/boxes/read.rs
@@ -170,7 +170,7 @@
                     let took = (!answered.pipelined).then_some(answered.latency);
                     NodeEvent::Served(id, attempt, reply, bytes, took)
                 }
-                Kind::Busy => NodeEvent::Ended(id, attempt, Status::Full, reply),
+                Kind::Busy => NodeEvent::Ended(id, attempt, Status::Rejected, reply),
                 Kind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
             });
         }
--- a/crates/proxy/src/boxes/status.rs
+++ b/crates/proxy/src/boxes/status.rs
@@ -5,14 +5,14 @@
 use super::{Boxes, MS};
 use crate::platform::discovery::Names;
 use addresses::Address;
-use calicosaddle::api::{Nanos, State};
+use calicosaddle::api::{Nanos, ServerState};
 use control::message::{BoxStatus, Pipelines, DEPTHS};
 use serde_json::{json, Value};
 
 impl Boxes {
     /// How many nodes are listed, how many take work, and how many connections and attempts there are.
     pub fn counts(&self) -> (usize, usize, usize, usize) {
-        let listed = self.nodes.values().filter(|n| n.entry.state != State::Gone).count();
+        let listed = self.nodes.values().filter(|n| n.entry.state != ServerState::Removed).count();
         let usable = self.nodes.values().filter(|n| n.takes()).count();
         let attempts = self.all.iter().map(|(_, c)| c.depth()).sum();
         (listed, usable, self.all.len(), attempts)
@@ -40,7 +40,7 @@
 
     /// The nodes in discovery's form, by name.
     pub fn hosts(&self, names: &Names) -> Vec<Value> {
-        let there = |n: &&Node| n.entry.state != State::Gone && !n.book.is_empty();
+        let there = |n: &&Node| n.entry.state != ServerState::Removed && !n.book.is_empty();
         let mut all: Vec<&Node> = self.nodes.values().filter(there).collect();
         all.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         let name = |all: &[String], i: u32| all.get(i as usize).map_or(Value::Null, |n| json!(n));
@@ -50,7 +50,7 @@
             let dial = n.book.addresses().find(|a| matches!(a, Address::Tcp(_))).map(Address::to_string);
             let mut host = json!({"host": n.name, "dial": dial, "site": name(&names.zones, e.zone),
                 "class": name(&names.kinds, e.kind), "block": e.cell, "health": word(e.state),
-                "share": e.weight, "born_ms": e.started / MS});
+                "share": e.weight, "born_ms": e.started_at / MS});
             if dials.len() != 1 || dial.is_none() {
                 host["dials"] = json!(dials);
             }
