--- a/crates/proxy/src/boxes/connection.rs
+++ b/crates/proxy/src/boxes/connection.rs
@@ -8,19 +8,19 @@
 use resp::{Greeting, Protocol, ReplyReader};
 use std::rc::Rc;
 
-/// A longer write goes out from where it lies instead of being copied behind its command.
-const COPIED: usize = 16 << 10;
+/// The longest written value that is copied behind its command. A longer one is sent from its own buffer.
+const MAX_COPIED_VALUE_BYTES: usize = 16 << 10;
 
-/// One attempt, as it waits to be written.
+/// An attempt that waits to be written.
 #[derive(Debug)]
 pub struct QueuedAttempt {
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts.
+    /// The attempt's number within its request.
     pub attempt: u32,
-    /// What the client sent.
+    /// The client's command.
     pub query: Rc<Query>,
-    /// When its answer should be there.
+    /// When the answer is due by the latency target of its class.
     pub target: Nanos,
     /// When the proxy stops waiting.
     pub deadline: Nanos,
@@ -34,81 +34,87 @@
     }
 
     fn kind(&self) -> CommandKind {
-        CommandKind { write: self.query.write, large_value: self.query.value().len() > COPIED }
+        CommandKind {
+            write: self.query.write,
+            large_value: self.query.value().len() > MAX_COPIED_VALUE_BYTES,
+        }
     }
 }
 
 /// A connection to a cache node.
 #[derive(Debug)]
 pub struct Connection {
-    /// Its socket, and the address that it goes to.
+    /// Its socket and the address that it goes to.
     pub link: Dial,
-    /// Until it is up: another address that is tried beside, and what else could be.
-    pub rival: Option<Dial>,
+    /// Until the connection is established: the second dial that runs beside the first (RFC 8305).
+    pub staggered: Option<Dial>,
+    /// The addresses still to be tried, and those being tried.
     pub race: ConnectionRace,
     /// The node at its other end.
-    pub node: ServerId,
-    /// Its number among all that there ever were.
+    pub server: ServerId,
+    /// Its serial number among all connections since the start.
     pub serial: u64,
-    /// It has come up.
-    pub up: bool,
+    /// It is established.
+    pub connected: bool,
     /// The attempts on it.
-    pub pipe: Pipeline<QueuedAttempt>,
-    /// The commands being written, all but a long value at their end.
-    pub out: Vec<u8>,
-    /// That value stays where it is.
-    pub long: Option<Rc<Query>>,
-    /// It is among those that will be written to.
-    pub dirty: bool,
-    /// It is greeted in RESP3 together with the first attempt.
-    pub greets: bool,
-    /// Reads the answer to the greeting, once that is sent and until it has come.
-    pub greeting: Option<Greeting>,
-    /// Reads the replies.
+    pub pipeline: Pipeline<QueuedAttempt>,
+    /// The commands of the batch being written, without a long value at their end.
+    pub write_buffer: Vec<u8>,
+    /// The command whose long value ends the batch; the value is not copied.
+    pub long_value: Option<Rc<Query>>,
+    /// It is queued for writing.
+    pub write_queued: bool,
+    /// `HELLO 3` is sent together with the first attempt.
+    pub sends_hello: bool,
+    /// Parses the answer to `HELLO`, from its sending until the answer is complete.
+    pub hello_reply: Option<Greeting>,
+    /// Parses the replies.
     pub reader: ReplyReader,
-    /// The bytes of the reply at hand.
-    pub reply: Vec<u8>,
-    /// When it last carried anything; pushes between replies are not counted.
-    pub moved: Nanos,
-    /// When anything last came on it.
-    pub heard: Nanos,
-    /// Something has come on it that is not read yet.
-    pub unread: bool,
-    /// When the last answer came on it, and from when on it may carry the next command.
-    pub answered: Nanos,
-    pub ready: Nanos,
-    /// How long it had been idle before the attempt that was written last; 0 if it was not.
-    pub rested: Nanos,
-    /// The first of the attempts sent is being answered with a long value, which is passed on as it comes.
-    pub passing: bool,
-    /// Nothing more is read before what came last has been passed on.
+    /// Bytes of the reply being read.
+    pub reply_bytes: Vec<u8>,
+    /// When it last carried a command or a reply; pushes between replies don't count.
+    pub last_active: Nanos,
+    /// When it was last read from.
+    pub last_read: Nanos,
+    /// Received bytes are known to be unread.
+    pub has_unread: bool,
+    /// When the last reply came.
+    pub last_reply: Nanos,
+    /// The end of the settle delay after that reply: when the next command may be written.
+    pub ready_at: Nanos,
+    /// How long it had been idle before the last written attempt; 0 if it had not.
+    pub idle_before_write: Nanos,
+    /// The reply at its head is a long value, which is passed to the client as it comes.
+    pub streaming: bool,
+    /// Reading is paused until the client has taken the bytes of the long value.
     pub paused: bool,
-    /// It has answered before.
-    pub used: bool,
+    /// At least one reply has come on it.
+    pub has_replied: bool,
 }
 
 impl Connection {
-    /// Attempts on it, those that are over counted.
+    /// Attempts on it, including cancelled ones whose replies are still due.
     pub fn depth(&self) -> usize {
-        self.pipe.depth()
+        self.pipeline.depth()
     }
 
-    /// Something on it has begun and not ended.
-    pub fn midway(&self) -> bool {
-        self.reader.midway() || self.greeting.as_ref().is_some_and(Greeting::midway)
+    /// A reply has been received in part.
+    pub fn mid_reply(&self) -> bool {
+        self.reader.midway() || self.hello_reply.as_ref().is_some_and(Greeting::midway)
     }
 
-    /// It speaks RESP3.
-    pub fn speaks_three(&self) -> bool {
+    /// It uses RESP3.
+    pub fn uses_resp3(&self) -> bool {
         self.reader.protocol() == Protocol::Three
     }
 
-    /// Nothing is under way on it that something new could disturb, or that could hold up something new for good.
-    pub fn takes(&self, fresh: Nanos, now: Nanos) -> bool {
-        if self.up && self.depth() == 0 {
-            now.saturating_sub(self.moved) < fresh && !self.unread && !self.midway()
+    /// Whether it may carry a new attempt: an idle connection must be within the idle limit and have no unread
+    /// input; a busy one must not be held up by a long value or by the missing reply of a cancelled attempt.
+    pub fn accepts_attempt(&self, idle_limit: Nanos, now: Nanos) -> bool {
+        if self.connected && self.depth() == 0 {
+            now.saturating_sub(self.last_active) < idle_limit && !self.has_unread && !self.mid_reply()
         } else {
-            !self.passing && !self.pipe.has_cancelled_in_flight()
+            !self.streaming && !self.pipeline.has_cancelled_in_flight()
         }
     }
 }
--- a/crates/proxy/src/boxes/dial.rs
+++ b/crates/proxy/src/boxes/dial.rs
@@ -1,4 +1,5 @@
-//! Opening connections.
+//! Opening connections. The addresses of a node race as in RFC 8305 (Happy Eyeballs): a second dial starts beside the
+//! first when that fails or takes longer than the stagger delay.
 
 use super::connection::Connection;
 use super::node::Node;
@@ -11,7 +12,7 @@
 use pipeline::Pipeline;
 use resp::{Protocol, ReplyReader};
 
-/// Connects to the next address of a race that can be connected to.
+/// Dials the addresses of a race in order until one can be dialed.
 fn dial(
     node: &mut Node,
     race: &mut ConnectionRace,
@@ -19,126 +20,128 @@
     token: Token,
     now: Nanos,
 ) -> Option<Dial> {
-    while let Some(over) = race.start_next() {
-        let socket = node.book.address(over).map(Socket::connect);
+    while let Some(address) = race.start_next() {
+        let socket = node.addresses.address(address).map(Socket::connect);
         if let Some(Ok(mut socket)) = socket {
             if socket.register(registry, token).is_ok() {
-                return Some(Dial { over, socket, begun: now });
+                return Some(Dial { address, socket, started_at: now });
             }
         }
-        node.book.connection_failed(over, now);
-        race.attempt_failed(over);
+        node.addresses.connection_failed(address, now);
+        race.attempt_failed(address);
     }
     None
 }
 
 impl Boxes {
+    /// Opens a connection to a node, over the required address if there is one. Returns no key if no descriptor is
+    /// free or no address can be dialed.
     pub(super) fn open(
         &mut self,
         server: ServerId,
-        only: Option<AddressId>,
-        job: &QueuedAttempt,
+        required: Option<AddressId>,
+        queued: &QueuedAttempt,
         now: Nanos,
     ) -> (Option<usize>, Option<NewConnection>) {
-        if self.descriptors() >= self.limit && !self.evict() {
+        if self.descriptors() >= self.descriptor_limit && !self.evict_idle() {
             return (None, None);
         }
         let Some(node) = self.nodes.get_mut(&server) else { return (None, None) };
-        let order = match only {
+        let order = match required {
             Some(id) => vec![id],
-            None => node.book.connection_order(now, job.query.write),
+            None => node.addresses.connection_order(now, queued.query.write),
         };
         let mut race = ConnectionRace::new(order);
-        let entry = self.all.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let key = entry.key();
         let token = Source::Box(key).token();
         let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
-        let left = job.deadline.saturating_sub(now);
-        let stagger = race.can_start_another().then(|| node.book.attempt_delay(link.over, left));
-        self.serial += 1;
+        let remaining = queued.deadline.saturating_sub(now);
+        let stagger_delay =
+            race.can_start_another().then(|| node.addresses.attempt_delay(link.address, remaining));
+        self.last_serial += 1;
         node.connections.push(key);
-        let greets = self.hello.is_some() && node.greets();
+        let sends_hello = self.hello.is_some() && node.should_send_hello();
         entry.insert(Connection {
             link,
-            rival: None,
+            staggered: None,
             race,
-            node: server,
-            serial: self.serial,
-            up: false,
-            pipe: Pipeline::default(),
-            out: Vec::new(),
-            long: None,
-            dirty: false,
-            greets,
-            greeting: None,
+            server,
+            serial: self.last_serial,
+            connected: false,
+            pipeline: Pipeline::default(),
+            write_buffer: Vec::new(),
+            long_value: None,
+            write_queued: false,
+            sends_hello,
+            hello_reply: None,
             reader: ReplyReader::new(Protocol::Two),
-            reply: Vec::new(),
-            moved: now,
-            heard: now,
-            unread: false,
-            answered: 0,
-            ready: 0,
-            rested: 0,
-            passing: false,
+            reply_bytes: Vec::new(),
+            last_active: now,
+            last_read: now,
+            has_unread: false,
+            last_reply: 0,
+            ready_at: 0,
+            idle_before_write: 0,
+            streaming: false,
             paused: false,
-            used: false,
+            has_replied: false,
         });
-        (Some(key), Some(NewConnection { serial: self.serial, stagger_delay: stagger }))
+        (Some(key), Some(NewConnection { serial: self.last_serial, stagger_delay }))
     }
 
-    /// Tries the next address beside the one that is not up, if descriptors allow it.
+    /// The stagger delay of a connection is over: dials the next address beside the first, if descriptors allow it.
     pub fn start_staggered(&mut self, key: usize, serial: u64, now: Nanos) {
-        if self.all.get(key).is_some_and(|c| c.serial == serial) {
-            self.begin_rival(key, now);
+        if self.connections.get(key).is_some_and(|c| c.serial == serial) {
+            self.dial_staggered(key, now);
         }
     }
 
-    /// Dials the next address beside a connection that is not up: one at a time at each node, so that a node never
-    /// sees more than one connection beyond those that it is to have, and within the descriptors.
-    fn begin_rival(&mut self, key: usize, now: Nanos) {
-        let raced = |k: &usize| self.all.get(*k).is_some_and(|c| c.rival.is_some());
-        let Some(node) = self.all.get(key).filter(|c| !c.up).and_then(|c| self.nodes.get(&c.node)) else {
-            return;
-        };
-        if self.descriptors() >= self.limit || node.connections.iter().any(raced) {
+    /// Starts the staggered dial of a connection that is not established. Each node has one staggered dial at a time,
+    /// so that it never sees more than one connection beyond its limit.
+    fn dial_staggered(&mut self, key: usize, now: Nanos) {
+        let is_racing = |k: &usize| self.connections.get(*k).is_some_and(|c| c.staggered.is_some());
+        let connecting = self.connections.get(key).filter(|c| !c.connected);
+        let Some(node) = connecting.and_then(|c| self.nodes.get(&c.server)) else { return };
+        if self.descriptors() >= self.descriptor_limit || node.connections.iter().any(is_racing) {
             return;
         }
-        let Some(c) = self.all.get_mut(key) else { return };
-        let Some(node) = self.nodes.get_mut(&c.node) else { return };
-        c.rival = dial(node, &mut c.race, &self.registry, Source::Rival(key).token(), now);
-        self.rivals += usize::from(c.rival.is_some());
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some(node) = self.nodes.get_mut(&c.server) else { return };
+        c.staggered = dial(node, &mut c.race, &self.registry, Source::Rival(key).token(), now);
+        self.staggered_dials += usize::from(c.staggered.is_some());
     }
 
-    /// A race at a node is over: the next of its connections that has waited long enough may have one.
-    pub(super) fn next_rival(&mut self, server: ServerId, now: Nanos) {
+    /// A race at a node is over: starts the staggered dial of the node's next connection whose delay is over.
+    pub(super) fn dial_next_staggered(&mut self, server: ServerId, now: Nanos) {
         let Some(node) = self.nodes.get(&server) else { return };
-        let waits = |k: &&usize| {
-            self.all.get(**k).is_some_and(|c| {
-                let delay = node.book.attempt_delay(c.link.over, Nanos::MAX);
-                !c.up
-                    && c.rival.is_none()
+        let is_due = |k: &&usize| {
+            self.connections.get(**k).is_some_and(|c| {
+                let delay = node.addresses.attempt_delay(c.link.address, Nanos::MAX);
+                !c.connected
+                    && c.staggered.is_none()
                     && c.race.can_start_another()
-                    && now.saturating_sub(c.link.begun) >= delay
+                    && now.saturating_sub(c.link.started_at) >= delay
             })
         };
-        if let Some(key) = node.connections.iter().find(waits).copied() {
-            self.begin_rival(key, now);
+        if let Some(key) = node.connections.iter().find(is_due).copied() {
+            self.dial_staggered(key, now);
         }
     }
 
-    /// An attempt to connect failed: the other one goes on, or the next begins.
-    pub(super) fn dial_failed(&mut self, key: usize, rival: bool, now: Nanos) {
-        let Some(c) = self.all.get_mut(key) else { return };
-        let Some(node) = self.nodes.get_mut(&c.node) else { return };
-        let other = c.rival.take();
-        self.rivals -= usize::from(other.is_some());
-        let failed = if rival { other.as_ref().map(|d| d.over) } else { Some(c.link.over) };
+    /// One of a connection's dials failed: the other one continues, or the next address is dialed.
+    pub(super) fn dial_failed(&mut self, key: usize, staggered: bool, now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some(node) = self.nodes.get_mut(&c.server) else { return };
+        let other = c.staggered.take();
+        self.staggered_dials -= usize::from(other.is_some());
+        let failed = if staggered { other.as_ref().map(|d| d.address) } else { Some(c.link.address) };
         if let Some(id) = failed {
-            node.book.connection_failed(id, now);
+            node.addresses.connection_failed(id, now);
             c.race.attempt_failed(id);
         }
-        if rival {
-            self.begin_rival(key, now);
+        if staggered {
+            self.dial_staggered(key, now);
             return;
         }
         let token = Source::Box(key).token();
@@ -146,20 +149,21 @@
         match other.or_else(|| dial(node, &mut c.race, &self.registry, token, now)) {
             Some(link) => c.link = link,
             None => {
-                self.refused(key, now);
+                self.record_refusal(key, now);
                 self.close(key);
                 return;
             }
         }
-        // What has failed is followed at once; the delay is for what may yet come up.
-        self.begin_rival(key, now);
+        // After a failure the next dial starts at once; the stagger delay is for dials that may still succeed.
+        self.dial_staggered(key, now);
     }
 
-    /// The second address of a connection has news; true if it won, and the connection is up.
+    /// Handles readiness of a staggered dial's socket; returns whether it won the race and the connection is
+    /// established.
     pub fn staggered_ready(&mut self, key: usize, now: Nanos) -> bool {
-        let Some(c) = self.all.get_mut(key).filter(|c| !c.up) else { return false };
-        let Some(rival) = &c.rival else { return false };
-        match rival.socket.is_up() {
+        let Some(c) = self.connections.get_mut(key).filter(|c| !c.connected) else { return false };
+        let Some(staggered) = &c.staggered else { return false };
+        match staggered.socket.is_up() {
             Ok(false) => return false,
             Err(_) => {
                 self.dial_failed(key, true, now);
@@ -167,38 +171,39 @@
             }
             Ok(true) => {}
         }
-        let Some(mut rival) = c.rival.take() else { return false };
-        self.rivals -= 1;
-        if rival.socket.reregister(&self.registry, Source::Box(key).token()).is_err() {
+        let Some(mut winner) = c.staggered.take() else { return false };
+        self.staggered_dials -= 1;
+        if winner.socket.reregister(&self.registry, Source::Box(key).token()).is_err() {
             return false;
         }
-        // It had the longer time, and is not up: the next connection goes elsewhere first.
-        let slow = std::mem::replace(&mut c.link, rival);
-        if let Some(node) = self.nodes.get_mut(&c.node) {
-            node.book.connection_failed(slow.over, now);
+        // The first address had more time and is not connected, so the next connection tries another one first.
+        let loser = std::mem::replace(&mut c.link, winner);
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            node.addresses.connection_failed(loser.address, now);
         }
         true
     }
 
-    /// Ends a connection that did not come up in time.
+    /// Closes a connection that was not established in time.
     pub fn connect_timeout(&mut self, key: usize, serial: u64, now: Nanos) {
-        let Some(c) = self.all.get(key).filter(|c| c.serial == serial && !c.up) else { return };
-        if let Some(node) = self.nodes.get_mut(&c.node) {
-            c.race.in_progress().iter().for_each(|id| node.book.connection_failed(*id, now));
+        let connecting = self.connections.get(key).filter(|c| c.serial == serial && !c.connected);
+        let Some(c) = connecting else { return };
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            c.race.in_progress().iter().for_each(|id| node.addresses.connection_failed(*id, now));
         }
         self.close(key);
     }
 
-    /// A connection's node won't have it.
-    pub(super) fn refused(&mut self, key: usize, now: Nanos) {
-        let Some(server) = self.all.get(key).map(|c| c.node) else { return };
-        let answering = self.answering(server);
-        self.nodes.get_mut(&server).into_iter().for_each(|n| n.room.record_refused(answering, now));
+    /// Records that a node refused a connection or ended it before any reply.
+    pub(super) fn record_refusal(&mut self, key: usize, now: Nanos) {
+        let Some(server) = self.connections.get(key).map(|c| c.server) else { return };
+        let replied = self.replied_connections(server);
+        self.nodes.get_mut(&server).into_iter().for_each(|n| n.capacity.record_refused(replied, now));
     }
 
-    /// Connections to a node that have answered.
-    pub(super) fn answering(&self, server: ServerId) -> usize {
-        let all = self.nodes.get(&server).map_or(&[][..], |n| &n.connections);
-        all.iter().filter(|k| self.all.get(**k).is_some_and(|c| c.used)).count()
+    /// Number of connections to a node that have carried a reply.
+    pub(super) fn replied_connections(&self, server: ServerId) -> usize {
+        let keys = self.nodes.get(&server).map_or(&[][..], |n| &n.connections);
+        keys.iter().filter(|k| self.connections.get(**k).is_some_and(|c| c.has_replied)).count()
     }
 }
--- a/crates/proxy/src/boxes/idle.rs
+++ b/crates/proxy/src/boxes/idle.rs
@@ -1,52 +1,54 @@
-//! How long connections may rest and still be used, as it was learned.
+//! Estimates how long a connection may have been idle and still be reused.
 
 use calicosaddle::api::Nanos;
 
 const MS: Nanos = 1_000_000;
 
-/// What becomes of connections that are used again after being idle, by how long they were: the classes double
-/// from 16 ms on.
+/// Outcomes of reusing idle connections, by idle time. The idle-time classes double from 16 ms on.
 ///
-/// Guards against nodes that end idle connections sooner than stated, without a word: the next request on each
-/// is reset and may have run. It should also catch a firewall that forgets connections. Danger: connections
-/// break for other reasons too, at any age; taken for such an end, a few of these would have a new connection
-/// opened for each request, which costs two round trips and work at the node. So a class is given up only when
-/// a good part of those that were used broke, counted over all nodes, and comes back as the counts fade.
+/// Some nodes close idle connections earlier than configured, without notice: the next request on such a connection
+/// is reset and may have run. A firewall that drops connection state has the same effect. Connections also break for
+/// other reasons, at any age; if a few of those counted as early closes, each request would open a new connection,
+/// which costs two round trips and work at the node. A class is therefore excluded only when a substantial fraction
+/// of its reused connections broke, counted over all nodes, and is used again once the counts have decayed.
 #[derive(Debug, Default)]
-pub struct Rests {
-    /// Fading counts for each class: used again, and of these broken at once.
+pub struct IdleOutcomes {
+    /// Decaying counts by class: connections reused, and those of them that broke at once.
     classes: [(f64, f64); 12],
 }
 
-impl Rests {
-    const SHORTEST: Nanos = 16 * MS;
-    /// So many must have broken, and this part of all: a new connection costs about twice what a request that
-    /// is reset and sent again costs.
-    const BROKEN: f64 = 2.5;
-    const PART: f64 = 0.4;
-    /// The counts halve in about 20 s.
-    const FADE_S: f64 = 30.0;
+impl IdleOutcomes {
+    /// Upper bound of the first class.
+    const FIRST_CLASS: Nanos = 16 * MS;
+    /// A class is excluded at this many broken connections and this fraction of all: a new connection costs about
+    /// twice as much as a request that is reset and sent again.
+    const MIN_BROKEN: f64 = 2.5;
+    const MIN_BROKEN_FRACTION: f64 = 0.4;
+    /// Time constant of the decay; the counts halve in about 20 s.
+    const DECAY_SECONDS: f64 = 30.0;
 
-    /// A connection that had been idle for so long was used.
-    pub fn used(&mut self, rested: Nanos, broke: bool) {
-        let class = (rested / Self::SHORTEST).checked_ilog2().map_or(0, |c| c as usize + 1);
+    /// Records the reuse of a connection after `idle`, and whether it broke at once.
+    pub fn record(&mut self, idle: Nanos, broke: bool) {
+        let class = (idle / Self::FIRST_CLASS).checked_ilog2().map_or(0, |c| c as usize + 1);
         let last = self.classes.len() - 1;
         let (used, broken) = &mut self.classes[class.min(last)];
         *used += 1.0;
         *broken += f64::from(u8::from(broke));
     }
 
-    /// How long a connection may have been idle and still be used.
-    pub fn fresh(&self, stated: Nanos) -> Nanos {
-        let bad = |(used, broken): &(f64, f64)| *broken >= Self::BROKEN && *broken >= Self::PART * used;
-        // Danger: without the shortest class no connection would be used twice.
-        let class = self.classes.iter().skip(1).position(bad);
-        class.map_or(stated, |c| stated.min(Self::SHORTEST << c))
+    /// The longest idle time after which a connection may be reused, at most `configured`.
+    pub fn limit(&self, configured: Nanos) -> Nanos {
+        let excluded = |(used, broken): &(f64, f64)| {
+            *broken >= Self::MIN_BROKEN && *broken >= Self::MIN_BROKEN_FRACTION * used
+        };
+        // The first class always stays: without it no connection would be reused at all.
+        let class = self.classes.iter().skip(1).position(excluded);
+        class.map_or(configured, |c| configured.min(Self::FIRST_CLASS << c))
     }
 
-    /// So much time has passed.
-    pub fn fade(&mut self, passed: Nanos) {
-        let keep = (-(passed as f64) / (Self::FADE_S * 1_000.0 * MS as f64)).exp();
+    /// Decays the counts by the time that has elapsed.
+    pub fn decay(&mut self, elapsed: Nanos) {
+        let keep = (-(elapsed as f64) / (Self::DECAY_SECONDS * 1_000.0 * MS as f64)).exp();
         self.classes.iter_mut().for_each(|(used, broken)| (*used, *broken) = (*used * keep, *broken * keep));
     }
 }
@@ -56,17 +58,17 @@
     use super::*;
 
     #[test]
-    fn an_idle_time_is_given_up_by_the_part_that_breaks_and_tried_again_later() {
-        let stated = 4_000 * MS;
-        let mut rests = Rests::default();
+    fn an_idle_time_is_excluded_by_its_fraction_of_broken_connections_and_allowed_again_after_decay() {
+        let configured = 4_000 * MS;
+        let mut outcomes = IdleOutcomes::default();
         for i in 0..40 {
-            rests.used(300 * MS, i % 8 == 0);
-            rests.used(5 * MS, true);
+            outcomes.record(300 * MS, i % 8 == 0);
+            outcomes.record(5 * MS, true);
         }
-        assert_eq!(rests.fresh(stated), stated);
-        (0..4).for_each(|_| rests.used(1_500 * MS, true));
-        assert_eq!(rests.fresh(stated), 1_024 * MS);
-        rests.fade(60_000 * MS);
-        assert_eq!(rests.fresh(stated), stated);
+        assert_eq!(outcomes.limit(configured), configured);
+        (0..4).for_each(|_| outcomes.record(1_500 * MS, true));
+        assert_eq!(outcomes.limit(configured), 1_024 * MS);
+        outcomes.decay(60_000 * MS);
+        assert_eq!(outcomes.limit(configured), configured);
     }
 }
--- a/crates/proxy/src/boxes/membership.rs
+++ b/crates/proxy/src/boxes/membership.rs
@@ -1,4 +1,4 @@
-//! The list of cache nodes.
+//! The set of cache nodes: the discovery list and the nodes drained by operators.
 
 use super::node::Node;
 use super::Boxes;
@@ -7,62 +7,65 @@
 use rustc_hash::FxHashSet;
 
 impl Boxes {
-    /// These nodes, and no others, are drained by operators.
+    /// Sets which nodes are drained by operators; all others are not.
     pub fn set_drained(&mut self, servers: &[ServerId], now: Nanos) {
-        self.withdrawn = servers.iter().copied().collect();
+        self.drained = servers.iter().copied().collect();
         for (server, node) in &mut self.nodes {
-            node.withdrawn = self.withdrawn.contains(server);
-            node.mark(now);
+            node.drained = self.drained.contains(server);
+            node.update_leaving(now);
         }
     }
 
-    /// A node has such an address.
-    pub fn has_address(&self, such: impl Fn(&addresses::Address) -> bool) -> bool {
-        self.nodes.values().any(|n| n.book.addresses().any(&such))
+    /// Whether some node has an address that satisfies the predicate.
+    pub fn has_address(&self, matches: impl Fn(&addresses::Address) -> bool) -> bool {
+        self.nodes.values().any(|n| n.addresses.addresses().any(&matches))
     }
 
-    /// Takes what discovery told.
+    /// Applies a full list or an update from discovery.
     pub fn apply_list(&mut self, list: &List, now: Nanos) {
         if list.whole {
-            let named: FxHashSet<ServerId> = list.hosts.iter().map(|h| h.entry.server).collect();
-            let left: Vec<ServerId> = self.nodes.keys().copied().filter(|id| !named.contains(id)).collect();
-            for id in left {
+            let listed: FxHashSet<ServerId> = list.hosts.iter().map(|h| h.entry.server).collect();
+            let missing: Vec<ServerId> =
+                self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
+            for id in missing {
                 self.nodes.entry(id).and_modify(|n| {
                     n.entry.state = ServerState::Removed;
-                    n.mark(now);
+                    n.update_leaving(now);
                 });
                 self.close_idle(id);
             }
         }
         for host in &list.hosts {
-            let e = &host.entry;
-            let withdrawn = self.withdrawn.contains(&e.server);
-            let new = || Node::new(host.name.clone(), e.clone(), withdrawn);
-            let node = self.nodes.entry(e.server).or_insert_with(new);
-            // Idle connections to a place or a process that the node has left serve nobody.
-            let told = !host.dials.is_empty() || e.state != ServerState::Removed;
-            let moved = (told && node.book.update(&host.dials, now)) || node.entry.started_at != e.started_at;
+            let entry = &host.entry;
+            let drained = self.drained.contains(&entry.server);
+            let new = || Node::new(host.name.clone(), entry.clone(), drained);
+            let node = self.nodes.entry(entry.server).or_insert_with(new);
+            // A removed host may be listed without addresses; the known ones stay then.
+            let has_addresses = !host.dials.is_empty() || entry.state != ServerState::Removed;
+            let moved = (has_addresses && node.addresses.update(&host.dials, now))
+                || node.entry.started_at != entry.started_at;
             if moved && !host.faults.is_empty() {
-                eprintln!("{}: addresses dropped: {}", host.name, host.faults.join("; "));
+                eprintln!("{}: ignored invalid addresses: {}", host.name, host.faults.join("; "));
             }
-            node.entry = e.clone();
-            node.mark(now);
-            if moved || e.state == ServerState::Removed {
-                self.close_idle(e.server);
+            node.entry = entry.clone();
+            node.update_leaving(now);
+            // Idle connections to an address or a process that the node has left are useless.
+            if moved || entry.state == ServerState::Removed {
+                self.close_idle(entry.server);
             }
         }
-        self.forget();
+        self.forget_removed();
     }
 
-    /// Forgets the nodes that are gone and have no connection left.
-    pub(super) fn forget(&mut self) {
-        let past = &mut self.past;
-        self.nodes.retain(|_, n| {
-            let stays = n.entry.state != ServerState::Removed || !n.connections.is_empty();
-            if !stays {
-                past.add(&n.counts);
+    /// Forgets the removed nodes that have no connection left.
+    pub(super) fn forget_removed(&mut self) {
+        let removed_stats = &mut self.removed_stats;
+        self.nodes.retain(|_, node| {
+            let keep = node.entry.state != ServerState::Removed || !node.connections.is_empty();
+            if !keep {
+                removed_stats.add(&node.stats);
             }
-            stays
+            keep
         });
     }
 }
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -1,7 +1,7 @@
-//! Cache nodes: where they are, the connections to each, and the attempts on them.
+//! Cache nodes: their addresses, the connections to each, and the attempts on those.
 //!
-//! A connection carries attempts in order. An attempt is checked when its turn to be written comes, and once
-//! its last byte is written it may have run, whatever becomes of the connection.
+//! A connection carries attempts in order. An attempt is checked when it is about to be written. Once its last byte is
+//! written it may have run, whatever happens to the connection afterwards.
 
 mod close;
 mod connection;
@@ -22,7 +22,7 @@
 use connection::Connection;
 pub use connection::QueuedAttempt;
 use control::message::Pipelines;
-use idle::Rests;
+use idle::IdleOutcomes;
 use mio::Registry;
 use node::Node;
 use pipeline::{BoxLatencies, PipelineConfig};
@@ -33,59 +33,61 @@
 use std::collections::{BTreeSet, VecDeque};
 
 const MS: Nanos = 1_000_000;
-/// Connections to one cache node over all proxies, as far as this proxy plans for. Nodes accept about thirty,
-/// a fuller table takes more of their capacity, and proxies that restart bring theirs anew.
-const NODE_CONNECTIONS: usize = 24;
-/// Connections that one proxy wants to a node at the most: more than a node has places for requests.
-const MOST_CONNECTIONS: usize = 8;
-/// The part of the node's idle time after which a connection is not used again: a request that crosses the
-/// node's close ends as a reset.
-const IDLE_PART: f64 = 0.8;
-/// A node writes a reply in one go, with pauses of 0.1 s at the most; what is silent for longer within one is
-/// not going to end it.
-const STALLED: Nanos = 200 * MS;
-/// One that gives a long value may take its time: the client has its first bytes, and can't have them twice.
-const PASSING: Nanos = 5_000 * MS;
-/// What an idle connection keeps of its buffer.
-const KEPT: usize = 4 << 10;
+/// Planned connections to one cache node from all proxies together. Nodes accept about thirty, a fuller table takes
+/// more of their capacity, and restarted proxies open theirs while the old ones are still counted.
+const PLANNED_CONNECTIONS_PER_NODE: usize = 24;
+/// The most connections from one proxy to a node: more than a node has slots for requests.
+const MAX_CONNECTIONS_PER_NODE: usize = 8;
+/// The fraction of the node's idle time-out within which a connection is reused: a request that crosses the node's
+/// close ends as a reset.
+const USABLE_IDLE_FRACTION: f64 = 0.8;
+/// A node writes a reply in one go, with pauses of at most 0.1 s; after a longer pause the rest will not come.
+const REPLY_STALL_TIMEOUT: Nanos = 200 * MS;
+/// The same for a long value. It is longer, since the client already has the first bytes and can't be given them a
+/// second time.
+const LONG_VALUE_STALL_TIMEOUT: Nanos = 5_000 * MS;
+/// The most that the write buffer of an idle connection keeps allocated.
+const MAX_IDLE_BUFFER_BYTES: usize = 4 << 10;
+/// The most time by which one sweep decays the idle-time statistics.
+const MAX_DECAY_PER_SWEEP: Nanos = 1_000 * MS;
 
-/// What became of attempts.
+/// An event on the connections to cache nodes.
 #[derive(Debug)]
 pub enum NodeEvent {
-    /// It ended without a reply that could be passed on.
+    /// An attempt ended without a reply that can be given to the client.
     Ended(RequestId, u32, Status, Reply),
-    /// A whole reply that serves it, the bytes that came with it, and what it took; that is not told where it had to wait
-    /// behind another reply.
+    /// An attempt was served by a whole reply: the reply, the bytes that came with it, and the response time, which is
+    /// unknown if the attempt had to wait behind another reply.
     Served(RequestId, u32, Reply, Vec<u8>, Option<Nanos>),
-    /// A long value begins, on this connection: what it is and its length.
+    /// An attempt is being served with a long value: the connection's key, what the value is and its length.
     ValueStarted(RequestId, u32, usize, Shape, usize),
-    /// Some bytes of it, ...
+    /// The next bytes of a long value.
     ValueBytes(RequestId, Vec<u8>),
-    /// ... its end, and all else that its reply tells; ...
+    /// The end of a long value, with the rest of its reply.
     ValueComplete(RequestId, Reply),
-    /// ... or it ended before.
+    /// A long value broke off before its end.
     ValueTruncated(RequestId),
-    /// It goes by another connection than it was to; that is new if it says so.
+    /// An attempt was moved to another connection, which may be new.
     Reassigned(RequestId, u32, usize, Option<NewConnection>),
-    /// A node told something that nobody asked for.
+    /// A node sent an out-of-band push.
     Push(ServerId, Vec<Frame>),
 }
 
-/// An attempt that is waited for no longer.
+/// An attempt that the proxy no longer waits for.
 #[derive(Clone, Copy, Debug)]
 pub struct AbandonedAttempt {
     /// When it was sent.
     pub sent_at: Nanos,
-    /// Its time was up; else it was called off.
+    /// It timed out; otherwise it was cancelled.
     pub timed_out: bool,
 }
 
-/// A connection that was begun.
+/// A connection whose opening was started.
 #[derive(Clone, Copy, Debug)]
 pub struct NewConnection {
-    /// Its number among all that there ever were.
+    /// Its serial number among all connections since the start.
     pub serial: u64,
-    /// If it is not up after so long, another address may be tried beside.
+    /// After this time without success another address may be dialed in parallel.
     pub stagger_delay: Option<Nanos>,
 }
 
@@ -93,152 +95,160 @@
 #[derive(Debug)]
 pub struct Boxes {
     nodes: FxHashMap<ServerId, Node>,
-    withdrawn: FxHashSet<ServerId>,
+    /// The nodes drained by operators, whether listed or not.
+    drained: FxHashSet<ServerId>,
     registry: Registry,
-    /// Writes may be repeated over another address of their box.
-    across: bool,
-    /// Connections that are tried over a second address just now.
-    rivals: usize,
-    all: Slab<Connection>,
-    serial: u64,
-    /// Attempts written whole.
-    written: u64,
-    /// What a connection is greeted with, where the operator allows RESP3.
+    /// A write may be repeated over another address of its node.
+    repeat_writes_across_addresses: bool,
+    /// Staggered dials in progress; each holds a descriptor.
+    staggered_dials: usize,
+    connections: Slab<Connection>,
+    /// Serial number of the connection opened last.
+    last_serial: u64,
+    /// Attempts fully written since the start.
+    attempts_written: u64,
+    /// The command that opens each connection, if the operator allows RESP3.
     hello: Option<Vec<u8>>,
-    per_node: usize,
-    limit: usize,
-    pipes: PipelineConfig,
-    /// What all nodes were measured to take.
+    /// The most connections to one node.
+    max_per_node: usize,
+    /// The most descriptors for connections to nodes.
+    descriptor_limit: usize,
+    limits: PipelineConfig,
+    /// Response and connect times over all nodes.
     times: BoxLatencies,
-    told: operator::Pipeline,
-    /// Counts of nodes that are forgotten.
-    past: Pipelines,
-    /// Connections that something waits on, to be written to at the end of a step of the loop.
-    dirty: Vec<usize>,
-    /// Those of them that rest, by when their rest is over.
-    resting: BTreeSet<(Nanos, usize)>,
-    /// Since when the first of the others waits.
-    since: Nanos,
-    /// The longest that connections may be idle, as stated and as learned.
-    stated: Nanos,
-    fresh: Nanos,
-    rests: Rests,
-    swept: Nanos,
-    news: VecDeque<NodeEvent>,
-    again: Vec<usize>,
+    pipeline_options: operator::Pipeline,
+    /// Pipeline counters of the nodes that were removed.
+    removed_stats: Pipelines,
+    /// Connections with queued attempts, to be written to at the end of a turn of the event loop.
+    write_queue: Vec<usize>,
+    /// Connections with queued attempts that are in their settle delay, by its end.
+    settling: BTreeSet<(Nanos, usize)>,
+    /// When the first connection in the write queue was put there.
+    batch_started_at: Nanos,
+    /// The longest idle time of a reusable connection by the configuration.
+    configured_idle_limit: Nanos,
+    /// The same, reduced by what was observed.
+    idle_limit: Nanos,
+    idle_outcomes: IdleOutcomes,
+    last_sweep: Nanos,
+    events: VecDeque<NodeEvent>,
+    /// Connections that may have input without a further readiness event.
+    unread: Vec<usize>,
 }
 
 impl Boxes {
-    /// No nodes yet; at most `limit` connections in all, greeted with `hello` if it is there.
+    /// Creates the set without nodes. Connections hold at most `descriptor_limit` descriptors and are opened with
+    /// `hello` if there is one.
     pub fn new(
         config: &Config,
-        limit: usize,
+        descriptor_limit: usize,
         registry: Registry,
-        told: &operator::Operator,
+        options: &operator::Operator,
         hello: Option<Vec<u8>>,
     ) -> Self {
         let mut boxes = Boxes {
             nodes: FxHashMap::default(),
-            withdrawn: FxHashSet::default(),
+            drained: FxHashSet::default(),
             registry,
-            across: told.boxes.repeat_writes_across_addresses,
-            rivals: 0,
-            all: Slab::new(),
-            serial: 0,
-            written: 0,
+            repeat_writes_across_addresses: options.boxes.repeat_writes_across_addresses,
+            staggered_dials: 0,
+            connections: Slab::new(),
+            last_serial: 0,
+            attempts_written: 0,
             hello,
-            per_node: 1,
-            limit,
-            pipes: PipelineConfig::default(),
+            max_per_node: 1,
+            descriptor_limit,
+            limits: PipelineConfig::default(),
             times: BoxLatencies::NONE,
-            told: told.pipeline.clone(),
-            past: Pipelines::default(),
-            dirty: Vec::new(),
-            resting: BTreeSet::new(),
-            since: 0,
-            stated: 0,
-            fresh: 0,
-            rests: Rests::default(),
-            swept: 0,
-            news: VecDeque::new(),
-            again: Vec::new(),
+            pipeline_options: options.pipeline.clone(),
+            removed_stats: Pipelines::default(),
+            write_queue: Vec::new(),
+            settling: BTreeSet::new(),
+            batch_started_at: 0,
+            configured_idle_limit: 0,
+            idle_limit: 0,
+            idle_outcomes: IdleOutcomes::default(),
+            last_sweep: 0,
+            events: VecDeque::new(),
+            unread: Vec::new(),
         };
         boxes.configure(config);
         boxes
     }
 
-    /// Can a configuration be taken over?
+    /// Checks whether a configuration can be applied.
     ///
     /// # Errors
-    /// As [`pipeline_limits`] tells them.
+    /// As for [`pipeline_limits`].
     pub fn check_config(&self, config: &Config) -> Result<(), String> {
-        pipeline_limits(&self.told, config).map(|_| ())
+        pipeline_limits(&self.pipeline_options, config).map(|_| ())
     }
 
-    /// Takes over what a configuration says of connections.
+    /// Applies a configuration.
     pub fn configure(&mut self, config: &Config) {
-        let share = NODE_CONNECTIONS / config.settings.proxy_count.max(1) as usize;
-        self.per_node = share.clamp(1, MOST_CONNECTIONS);
-        // What can't hold with it has been refused before. What was learned of rests is kept.
-        let learned = self.pipes.settle_delay;
-        self.pipes = pipeline_limits(&self.told, config).unwrap_or(self.pipes);
-        self.pipes.settle_delay = self.pipes.settle_delay.with_learned(learned);
-        self.stated = (config.idle as f64 * IDLE_PART) as Nanos;
-        self.fresh = self.rests.fresh(self.stated);
+        let per_proxy = PLANNED_CONNECTIONS_PER_NODE / config.settings.proxy_count.max(1) as usize;
+        self.max_per_node = per_proxy.clamp(1, MAX_CONNECTIONS_PER_NODE);
+        // Invalid limits have been rejected before. The learned settle delay is kept.
+        let learned = self.limits.settle_delay;
+        self.limits = pipeline_limits(&self.pipeline_options, config).unwrap_or(self.limits);
+        self.limits.settle_delay = self.limits.settle_delay.with_learned(learned);
+        self.configured_idle_limit = (config.idle as f64 * USABLE_IDLE_FRACTION) as Nanos;
+        self.idle_limit = self.idle_outcomes.limit(self.configured_idle_limit);
     }
 
-    /// Makes room for a client that comes to so many others, as far as idle connections allow it; tells how many
-    /// clients there may be then.
+    /// Divides the descriptors between this number of clients and the nodes, closing an idle connection if a further
+    /// client needs its descriptor. Returns how many clients are allowed then.
     pub fn make_room(&mut self, places: Places, clients: usize) -> usize {
-        let wanted = clients >= places.for_clients(self.descriptors());
-        if wanted && self.descriptors() > places.for_nodes(usize::MAX) {
-            self.evict();
+        let needed = clients >= places.for_clients(self.descriptors());
+        if needed && self.descriptors() > places.for_nodes(usize::MAX) {
+            self.evict_idle();
         }
-        self.limit = places.for_nodes(clients);
+        self.descriptor_limit = places.for_nodes(clients);
         places.for_clients(self.descriptors())
     }
 
-    /// Descriptors that connections hold.
+    /// Descriptors held by connections to nodes.
     pub fn descriptors(&self) -> usize {
-        self.all.len() + self.rivals
+        self.connections.len() + self.staggered_dials
     }
 
-    /// Attempts written whole since the start.
+    /// Attempts fully written since the start.
     pub fn attempts_written(&self) -> u64 {
-        self.written
+        self.attempts_written
     }
 
-    /// The next thing that became of an attempt.
+    /// Takes the next event.
     pub fn next_event(&mut self) -> Option<NodeEvent> {
-        self.news.pop_front()
+        self.events.pop_front()
     }
 
-    fn end(&mut self, job: QueuedAttempt, status: Status) {
-        self.news.push_back(NodeEvent::Ended(job.id, job.attempt, status, Reply::default()));
+    fn end_unsent(&mut self, queued: QueuedAttempt, status: Status) {
+        self.events.push_back(NodeEvent::Ended(queued.id, queued.attempt, status, Reply::default()));
     }
 
-    /// Has the attempt's last byte been written?
+    /// Whether the attempt's last byte has been written.
     pub fn is_written(&self, key: usize, id: RequestId, attempt: u32) -> bool {
-        self.all.get(key).is_some_and(|c| c.pipe.is_written((id, attempt)))
+        self.connections.get(key).is_some_and(|c| c.pipeline.is_written((id, attempt)))
     }
 
-    /// Closes what stood idle too long, and what fell silent within a reply. Guards against replies that say
-    /// that they are longer than they are, or don't end; should also catch a node that dies while it writes.
+    /// Closes connections that have been idle too long or have stalled within a reply. A stall comes from a reply that
+    /// is shorter than it states or has no end, or from a node that dies while it writes.
     pub fn sweep(&mut self, now: Nanos) {
-        let passed = now.saturating_sub(std::mem::replace(&mut self.swept, now)).min(1_000 * MS);
-        self.rests.fade(passed);
-        self.fresh = self.rests.fresh(self.stated);
-        let over = |c: &Connection| {
-            let since = now.saturating_sub(c.moved);
-            (c.depth() == 0 && c.up && since >= self.fresh)
-                || (c.midway()
-                    && !c.paused
-                    && now.saturating_sub(c.heard) >= if c.passing { PASSING } else { STALLED })
+        let elapsed =
+            now.saturating_sub(std::mem::replace(&mut self.last_sweep, now)).min(MAX_DECAY_PER_SWEEP);
+        self.idle_outcomes.decay(elapsed);
+        self.idle_limit = self.idle_outcomes.limit(self.configured_idle_limit);
+        let is_expired = |c: &Connection| {
+            let idle = now.saturating_sub(c.last_active);
+            let timeout = if c.streaming { LONG_VALUE_STALL_TIMEOUT } else { REPLY_STALL_TIMEOUT };
+            (c.depth() == 0 && c.connected && idle >= self.idle_limit)
+                || (c.mid_reply() && !c.paused && now.saturating_sub(c.last_read) >= timeout)
         };
-        let over: Vec<usize> = self.all.iter().filter(|(_, c)| over(c)).map(|(key, _)| key).collect();
-        over.into_iter().for_each(|key| self.spoilt(key));
-        self.pass_by_stalled(now);
-        self.forget();
+        let expired = self.connections.iter().filter(|(_, c)| is_expired(c)).map(|(key, _)| key);
+        let expired: Vec<usize> = expired.collect();
+        expired.into_iter().for_each(|key| self.close_unreadable(key));
+        self.reassign_behind_stalled(now);
+        self.forget_removed();
     }
 }
 
@@ -255,198 +265,208 @@
     use std::net::TcpListener;
     use std::time::{Duration, Instant};
 
-    fn made(config: &Config, poll: &mio::Poll) -> Boxes {
-        let registry = poll.registry().try_clone().expect("a registry");
+    fn empty(config: &Config, poll: &mio::Poll) -> Boxes {
+        let registry = poll.registry().try_clone().expect("clone the registry");
         Boxes::new(config, 8, registry, &operator::Operator::default(), None)
     }
 
     fn host(entry: ServerEntry, listener: &TcpListener) -> Host {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("local address");
         Host { name: "s-7".into(), entry, dials: vec![Address::Tcp(address)], faults: Vec::new() }
     }
 
-    /// Before one node, 7, that this listener stands for.
-    fn before(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
-        let mut boxes = made(&sample(), poll);
+    /// With one node, 7, at the listener's address.
+    fn with_node(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
+        let mut boxes = empty(&sample(), poll);
         let hosts = vec![host(ServerEntry { server: 7, ..ServerEntry::default() }, listener)];
         boxes.apply_list(&List { version: 1, whole: true, hosts }, 0);
         boxes
     }
 
-    /// A whole answer of a node.
-    const ANSWER: &[u8] = b"*3\r\n$1\r\nx\r\n$-1\r\n$-1\r\n";
+    /// A complete reply of a node.
+    const REPLY: &[u8] = b"*3\r\n$1\r\nx\r\n$-1\r\n$-1\r\n";
 
-    fn job(config: &Config) -> QueuedAttempt {
+    fn queued(config: &Config) -> QueuedAttempt {
         QueuedAttempt { id: 1, attempt: 0, query: query(config), target: 9_000 * MS, deadline: 9_000 * MS }
     }
 
     #[test]
-    fn bytes_that_nobody_asked_for_are_seen_before_a_connection_is_used_again() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let poll = mio::Poll::new().expect("a poll");
-        let mut boxes = before(&listener, &poll);
-        let key = boxes.send(7, job(&sample()), 0).expect("a connection").0;
-        let mut node = listener.accept().expect("accepted").0;
-        (boxes.all[key].up, boxes.all[key].pipe) = (true, Pipeline::default());
+    fn unsolicited_bytes_are_detected_before_an_idle_connection_is_reused() {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+        let poll = mio::Poll::new().expect("create a poll");
+        let mut boxes = with_node(&listener, &poll);
+        let key = boxes.send(7, queued(&sample()), 0).expect("a connection for the attempt").0;
+        let mut node = listener.accept().expect("accept").0;
+        (boxes.connections[key].connected, boxes.connections[key].pipeline) = (true, Pipeline::default());
         assert_eq!(
-            boxes.send(7, job(&sample()), 0).map(|(key, new)| (key, new.is_some())),
+            boxes.send(7, queued(&sample()), 0).map(|(key, new)| (key, new.is_some())),
             Some((key, false))
         );
-        node.write_all(b"-BUSY\r\n").expect("written");
-        let begun = Instant::now();
-        while boxes.all[key].link.socket.is_quiet() {
-            assert!(begun.elapsed() < Duration::from_secs(20), "nothing came");
+        node.write_all(b"-BUSY\r\n").expect("write to the proxy");
+        let started = Instant::now();
+        while boxes.connections[key].link.socket.is_quiet() {
+            assert!(started.elapsed() < Duration::from_secs(20), "no bytes arrived within 20 s");
             std::thread::sleep(Duration::from_millis(1));
         }
-        // The loop has not heard of them, and the connection goes all the same; the attempt goes by another.
+        // The event loop has not reported them, yet the connection is closed and its attempt reassigned.
         assert!(boxes.write_due(0));
-        let news = boxes.next_event();
+        let event = boxes.next_event();
         assert!(
-            matches!(news, Some(NodeEvent::Reassigned(1, 0, _, Some(NewConnection { serial: 2, .. }))))
+            matches!(event, Some(NodeEvent::Reassigned(1, 0, _, Some(NewConnection { serial: 2, .. }))))
                 && boxes.next_event().is_none(),
-            "{news:?}"
+            "{event:?}"
         );
-        assert_eq!((boxes.all.len(), boxes.written, boxes.nodes[&7].counts.moved), (1, 0, 1));
+        assert_eq!((boxes.connections.len(), boxes.attempts_written, boxes.nodes[&7].stats.moved), (1, 0, 1));
     }
 
     #[test]
-    fn an_attempt_waits_for_the_end_of_its_connections_rest_and_goes_by_another_if_anything_comes() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let poll = mio::Poll::new().expect("a poll");
-        for surplus in [false, true] {
-            let mut boxes = before(&listener, &poll);
-            boxes.pipes =
+    fn an_attempt_waits_for_the_settle_delay_and_is_reassigned_on_unsolicited_bytes() {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+        let poll = mio::Poll::new().expect("create a poll");
+        for unsolicited in [false, true] {
+            let mut boxes = with_node(&listener, &poll);
+            boxes.limits =
                 PipelineConfig { settle_delay: SettleDelay::new(None), ..PipelineConfig::default() };
-            let (key, _) = boxes.send(7, job(&sample()), 0).expect("a connection");
-            let mut node = listener.accept().expect("accepted").0;
-            let begun = Instant::now();
-            let waits = || assert!(begun.elapsed() < Duration::from_secs(20), "nothing happens");
-            while boxes.written == 0 {
-                waits();
+            let (key, _) = boxes.send(7, queued(&sample()), 0).expect("a connection for the attempt");
+            let mut node = listener.accept().expect("accept").0;
+            let started = Instant::now();
+            let check_progress =
+                || assert!(started.elapsed() < Duration::from_secs(20), "no progress within 20 s");
+            while boxes.attempts_written == 0 {
+                check_progress();
                 boxes.ready(key, false, &mut [0; 64], MS);
             }
-            node.write_all(ANSWER).expect("written");
+            node.write_all(REPLY).expect("write to the proxy");
             while !matches!(boxes.next_event(), Some(NodeEvent::Served(1, 0, ..))) {
-                waits();
+                check_progress();
                 boxes.ready(key, false, &mut [0; 64], 2 * MS);
             }
-            let again = QueuedAttempt { attempt: 1, ..job(&sample()) };
+            let again = QueuedAttempt { attempt: 1, ..queued(&sample()) };
             assert!(matches!(boxes.send(7, again, 3 * MS), Some((same, None)) if same == key));
             assert_eq!(
-                (boxes.next_write_at(), boxes.write_due(6 * MS), boxes.written),
+                (boxes.next_write_at(), boxes.write_due(6 * MS), boxes.attempts_written),
                 (Some(7 * MS), false, 1)
             );
-            if surplus {
-                node.write_all(ANSWER).expect("written");
-                while boxes.nodes[&7].counts.surplus == 0 {
-                    waits();
+            if unsolicited {
+                node.write_all(REPLY).expect("write to the proxy");
+                while boxes.nodes[&7].stats.surplus == 0 {
+                    check_progress();
                     boxes.ready(key, false, &mut [0; 64], 6 * MS);
                 }
                 let moved = boxes.next_event();
                 assert!(matches!(moved, Some(NodeEvent::Reassigned(1, 1, _, Some(_)))), "{moved:?}");
-                assert_eq!((boxes.written, boxes.nodes[&7].counts.breaks), (1, 0));
+                assert_eq!((boxes.attempts_written, boxes.nodes[&7].stats.breaks), (1, 0));
             } else {
-                assert!(boxes.write_due(7 * MS) && boxes.all[key].pipe.is_written((1, 1)));
-                assert_eq!((boxes.next_write_at(), boxes.written), (None, 2));
+                assert!(boxes.write_due(7 * MS) && boxes.connections[key].pipeline.is_written((1, 1)));
+                assert_eq!((boxes.next_write_at(), boxes.attempts_written), (None, 2));
             }
         }
     }
 
     #[test]
-    fn what_waits_for_a_slow_connection_takes_one_that_becomes_free_first() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let poll = mio::Poll::new().expect("a poll");
-        let mut boxes = before(&listener, &poll);
-        let (up, _) = boxes.send(7, job(&sample()), 0).expect("a connection");
-        let mut node = listener.accept().expect("accepted").0;
-        let begun = Instant::now();
-        while boxes.written == 0 {
-            assert!(begun.elapsed() < Duration::from_secs(20), "nothing is written");
-            boxes.ready(up, false, &mut [0; 64], MS);
+    fn an_attempt_that_waits_for_a_slow_connect_takes_a_connection_that_becomes_idle() {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+        let poll = mio::Poll::new().expect("create a poll");
+        let mut boxes = with_node(&listener, &poll);
+        let (connected, _) = boxes.send(7, queued(&sample()), 0).expect("a connection for the attempt");
+        let mut node = listener.accept().expect("accept").0;
+        let started = Instant::now();
+        while boxes.attempts_written == 0 {
+            assert!(started.elapsed() < Duration::from_secs(20), "the attempt was not written within 20 s");
+            boxes.ready(connected, false, &mut [0; 64], MS);
         }
-        let (slow, new) = boxes.send(7, QueuedAttempt { attempt: 1, ..job(&sample()) }, MS).expect("another");
-        assert!(new.is_some() && slow != up);
-        node.write_all(ANSWER).expect("written");
-        while boxes.all[up].depth() > 0 && begun.elapsed() < Duration::from_secs(20) {
-            boxes.ready(up, false, &mut [0; 64], 2 * MS);
+        let (slow, new) = boxes
+            .send(7, QueuedAttempt { attempt: 1, ..queued(&sample()) }, MS)
+            .expect("a second connection");
+        assert!(new.is_some() && slow != connected);
+        node.write_all(REPLY).expect("write to the proxy");
+        while boxes.connections[connected].depth() > 0 && started.elapsed() < Duration::from_secs(20) {
+            boxes.ready(connected, false, &mut [0; 64], 2 * MS);
             if matches!(boxes.next_event(), Some(NodeEvent::Served(1, 0, ..))) {
                 break;
             }
         }
-        assert!(matches!(boxes.next_event(), Some(NodeEvent::Reassigned(1, 1, key, None)) if key == up));
-        // The connection rests after its answer, which came at 2 ms.
+        assert!(
+            matches!(boxes.next_event(), Some(NodeEvent::Reassigned(1, 1, key, None)) if key == connected)
+        );
+        // The settle delay of the connection starts with its reply at 2 ms.
         assert!(!boxes.write_due(2 * MS));
         assert!(
-            boxes.write_due(7 * MS) && boxes.all[up].pipe.is_written((1, 1)) && boxes.all[slow].depth() == 0
+            boxes.write_due(7 * MS)
+                && boxes.connections[connected].pipeline.is_written((1, 1))
+                && boxes.connections[slow].depth() == 0
         );
     }
 
     #[test]
-    fn an_attempt_that_finds_all_connections_in_use_is_told_as_not_sent_and_not_as_refused() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let poll = mio::Poll::new().expect("a poll");
-        let mut boxes = before(&listener, &poll);
-        (boxes.per_node, boxes.pipes) = (1, PipelineConfig::default());
-        assert!(boxes.send(7, job(&sample()), 0).is_some());
+    fn an_attempt_that_finds_all_connections_busy_ends_as_not_sent_instead_of_connect_failed() {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+        let poll = mio::Poll::new().expect("create a poll");
+        let mut boxes = with_node(&listener, &poll);
+        (boxes.max_per_node, boxes.limits) = (1, PipelineConfig::default());
+        assert!(boxes.send(7, queued(&sample()), 0).is_some());
         for attempt in 1..4 {
-            assert!(boxes.send(7, QueuedAttempt { attempt, ..job(&sample()) }, 0).is_none());
-            let told = boxes.next_event();
+            assert!(boxes.send(7, QueuedAttempt { attempt, ..queued(&sample()) }, 0).is_none());
+            let event = boxes.next_event();
             assert!(
-                matches!(told, Some(NodeEvent::Ended(1, n, Status::NotSent, _)) if n == attempt),
-                "{attempt}: {told:?}"
+                matches!(event, Some(NodeEvent::Ended(1, n, Status::NotSent, _)) if n == attempt),
+                "attempt {attempt}: {event:?}"
             );
         }
-        // Where nothing holds, and no descriptor is left to dial with, the node was not reached.
-        (boxes.per_node, boxes.limit) = (2, 0);
+        // Without a connection and without a descriptor to open one, the node was not reached.
+        (boxes.max_per_node, boxes.descriptor_limit) = (2, 0);
         boxes.close(0);
         while boxes.next_event().is_some() {}
-        assert!(boxes.send(7, job(&sample()), 0).is_none());
+        assert!(boxes.send(7, queued(&sample()), 0).is_none());
         assert!(matches!(boxes.next_event(), Some(NodeEvent::Ended(1, 0, Status::ConnectFailed, _))));
     }
 
     #[test]
-    fn connections_to_a_node_that_come_up_slowly_race_one_at_a_time() {
-        let (at, _held) = testkit::scripted::full_backlog();
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let poll = mio::Poll::new().expect("a poll");
-        let mut boxes = made(&sample(), &poll);
+    fn slow_connects_to_one_node_have_one_staggered_dial_at_a_time() {
+        let (unreachable, _listener) = testkit::scripted::full_backlog();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+        let poll = mio::Poll::new().expect("create a poll");
+        let mut boxes = empty(&sample(), &poll);
         let mut host = host(ServerEntry { server: 7, ..ServerEntry::default() }, &listener);
-        host.dials.insert(0, Address::Tcp(at));
+        host.dials.insert(0, Address::Tcp(unreachable));
         boxes.apply_list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
-        let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, job(&sample()), 0)).collect();
-        assert_eq!((keys.len(), boxes.rivals), (4, 0));
-        for (key, begun) in &keys {
-            boxes.start_staggered(*key, begun.expect("new").serial, 300 * MS);
+        let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, queued(&sample()), 0)).collect();
+        assert_eq!((keys.len(), boxes.staggered_dials), (4, 0));
+        for (key, new) in &keys {
+            boxes.start_staggered(*key, new.expect("a new connection").serial, 300 * MS);
         }
-        assert_eq!((boxes.rivals, boxes.descriptors()), (1, 5));
-        // Each that comes up over the second address lets the next begin, and the first address is passed over.
+        assert_eq!((boxes.staggered_dials, boxes.descriptors()), (1, 5));
+        // Each connection established over the second address lets the next staggered dial start.
         for (i, (key, _)) in keys.iter().enumerate() {
-            let begun = Instant::now();
+            let started = Instant::now();
             while !boxes.staggered_ready(*key, 310 * MS) {
-                assert!(begun.elapsed() < Duration::from_secs(20), "the race of {i} does not end");
+                assert!(
+                    started.elapsed() < Duration::from_secs(20),
+                    "the race of connection {i} did not end within 20 s"
+                );
                 std::thread::sleep(Duration::from_millis(1));
             }
             boxes.ready(*key, false, &mut [0; 64], 310 * MS);
-            assert_eq!(boxes.rivals, usize::from(i < 3), "after {i}");
+            assert_eq!(boxes.staggered_dials, usize::from(i < 3), "after connection {i}");
         }
-        assert!(boxes.all.iter().all(|(_, c)| c.up));
+        assert!(boxes.connections.iter().all(|(_, c)| c.connected));
     }
 
     #[test]
-    fn an_attempt_that_waits_for_its_turn_does_not_go_to_a_node_drained_meanwhile() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let poll = mio::Poll::new().expect("a poll");
+    fn a_queued_attempt_is_not_sent_to_a_node_that_was_drained_meanwhile() {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+        let poll = mio::Poll::new().expect("create a poll");
         let config = sample();
-        for withdrawn in [false, true] {
-            let mut boxes = before(&listener, &poll);
-            let (key, _) = boxes.send(7, job(&config), 0).expect("it waits");
-            listener.accept().expect("accepted");
-            if withdrawn {
+        for drained in [false, true] {
+            let mut boxes = with_node(&listener, &poll);
+            let (key, _) = boxes.send(7, queued(&config), 0).expect("a connection for the attempt");
+            listener.accept().expect("accept");
+            if drained {
                 boxes.set_drained(&[7], 0);
             }
             boxes.ready(key, false, &mut [0; 64], MS);
             let ended = matches!(boxes.next_event(), Some(NodeEvent::Ended(1, 0, Status::NotSent, _)));
-            assert_eq!((ended, boxes.nodes[&7].sent), (withdrawn, u64::from(!withdrawn)));
+            assert_eq!((ended, boxes.nodes[&7].attempts_sent), (drained, u64::from(!drained)));
         }
     }
 }
--- a/crates/proxy/src/boxes/node.rs
+++ b/crates/proxy/src/boxes/node.rs
@@ -1,4 +1,4 @@
-//! A cache node as this proxy knows it.
+//! The proxy's record of one cache node.
 
 use super::connection::Connection;
 use addresses::{AddressId, AddressTable};
@@ -7,117 +7,118 @@
 use pipeline::{BoxLatencies, ConnectionLimit};
 use resp::Protocol;
 
-/// Greetings that may be left unanswered in a row before a node is taken for one that can't read them.
-const UNHEARD: u8 = 3;
+/// Consecutive unanswered `HELLO` commands after which a node is considered unable to read them.
+const MAX_UNANSWERED_HELLOS: u8 = 3;
 
 /// A cache node.
 #[derive(Debug)]
 pub struct Node {
-    /// As discovery calls it.
+    /// Its name in discovery.
     pub name: Box<str>,
-    /// As the list has it.
+    /// Its entry in the discovery list.
     pub entry: ServerEntry,
-    /// An operator drained it.
-    pub withdrawn: bool,
-    /// Since when it is known here that it is to get nothing new.
-    pub leaving: Option<Nanos>,
-    /// Attempts begun.
-    pub sent: u64,
-    /// Those of them begun since it is leaving.
-    pub sent_leaving: u64,
-    /// Its process that started then speaks RESP2 alone.
-    pub two: Option<Nanos>,
-    /// Greetings in a row that it said nothing to.
-    pub unheard: u8,
-    /// Where it is.
-    pub book: AddressTable,
-    /// The connections to it.
+    /// Drained by an operator.
+    pub drained: bool,
+    /// When the proxy learned that the node must get no new work.
+    pub leaving_since: Option<Nanos>,
+    /// Attempts whose writing was started.
+    pub attempts_sent: u64,
+    /// Those of them started since the node is leaving.
+    pub attempts_sent_leaving: u64,
+    /// Start time of the node's process that supports RESP2 only.
+    pub resp2_only_process: Option<Nanos>,
+    /// Consecutive `HELLO` commands without any answer.
+    pub unanswered_hellos: u8,
+    /// Its addresses and what is known of each.
+    pub addresses: AddressTable,
+    /// Keys of the connections to it.
     pub connections: Vec<usize>,
-    /// What it was measured to take, once there was anything to measure.
-    measured: Option<Box<BoxLatencies>>,
-    /// How many connections it takes from here.
-    pub room: ConnectionLimit,
-    /// What its connections came to; how deep they are is looked up when it is asked for.
-    pub counts: Pipelines,
+    /// Its measured response and connect times, allocated with the first measurement.
+    times: Option<Box<BoxLatencies>>,
+    /// How many connections it accepts from this proxy.
+    pub capacity: ConnectionLimit,
+    /// Pipeline counters of its connections. The depths are computed on request.
+    pub stats: Pipelines,
 }
 
 impl Node {
-    /// A node that was just told of.
-    pub fn new(name: Box<str>, entry: ServerEntry, withdrawn: bool) -> Self {
-        let book = AddressTable::new(entry.server);
+    /// A newly listed node.
+    pub fn new(name: Box<str>, entry: ServerEntry, drained: bool) -> Self {
+        let addresses = AddressTable::new(entry.server);
         Node {
             name,
             entry,
-            withdrawn,
-            leaving: None,
-            sent: 0,
-            sent_leaving: 0,
-            two: None,
-            unheard: 0,
-            book,
+            drained,
+            leaving_since: None,
+            attempts_sent: 0,
+            attempts_sent_leaving: 0,
+            resp2_only_process: None,
+            unanswered_hellos: 0,
+            addresses,
             connections: Vec::new(),
-            measured: None,
-            room: ConnectionLimit::default(),
-            counts: Pipelines::default(),
+            times: None,
+            capacity: ConnectionLimit::default(),
+            stats: Pipelines::default(),
         }
     }
 
-    /// What it was measured to take.
+    /// Its measured response and connect times.
     pub fn times(&self) -> &BoxLatencies {
-        self.measured.as_deref().unwrap_or(&BoxLatencies::NONE)
+        self.times.as_deref().unwrap_or(&BoxLatencies::NONE)
     }
 
-    /// The same, to add to.
-    pub fn measured(&mut self) -> &mut BoxLatencies {
-        self.measured.get_or_insert_default()
+    /// The same, for recording a measurement.
+    pub fn times_mut(&mut self) -> &mut BoxLatencies {
+        self.times.get_or_insert_default()
     }
 
-    /// Takes work: discovery and the operators both say so.
-    pub fn takes(&self) -> bool {
-        self.entry.state == ServerState::Ready && !self.withdrawn
+    /// Whether the node takes new work: discovery lists it as ready and no operator has drained it.
+    pub fn accepts_work(&self) -> bool {
+        self.entry.state == ServerState::Ready && !self.drained
     }
 
-    /// May a connection that is up carry something new: over its address, and over this one if only that will do?
-    pub fn fits(&self, c: &Connection, only: Option<AddressId>) -> bool {
-        match only {
-            Some(id) => id == c.link.over && self.book.address(id).is_some(),
-            None => self.book.usable(c.link.over),
+    /// Whether an established connection may carry a new attempt: its address is usable, and is the required one if
+    /// there is one.
+    pub fn can_carry(&self, connection: &Connection, required: Option<AddressId>) -> bool {
+        match required {
+            Some(id) => id == connection.link.address && self.addresses.address(id).is_some(),
+            None => self.addresses.usable(connection.link.address),
         }
     }
 
-    /// Greet it in RESP3? One that refused is asked again once it has started anew.
-    pub fn greets(&self) -> bool {
-        self.two != Some(self.entry.started_at)
+    /// Whether to open connections with `HELLO 3`. A node that refused is asked again after it has restarted.
+    pub fn should_send_hello(&self) -> bool {
+        self.resp2_only_process != Some(self.entry.started_at)
     }
 
-    /// It answered a greeting, with the protocol that it speaks from then on; false if that was known.
-    pub fn greeted(&mut self, protocol: Protocol) -> bool {
-        let two = (protocol == Protocol::Two).then_some(self.entry.started_at);
-        self.unheard = 0;
-        std::mem::replace(&mut self.two, two) != two
+    /// Records the protocol that the node answered `HELLO` with; returns whether that is new.
+    pub fn record_protocol(&mut self, protocol: Protocol) -> bool {
+        let resp2_only = (protocol == Protocol::Two).then_some(self.entry.started_at);
+        self.unanswered_hellos = 0;
+        std::mem::replace(&mut self.resp2_only_process, resp2_only) != resp2_only
     }
 
-    /// It left a greeting unanswered for so long that a request's time was up. A silent node says nothing to a
-    /// greeting either, so one such is no sign.
-    pub fn left_unheard(&mut self) {
-        self.unheard += 1;
-        if self.unheard >= UNHEARD {
-            self.greeted(Protocol::Two);
+    /// Records that a `HELLO` got no answer before the request behind it timed out. A node that has stopped
+    /// responding does not answer `HELLO` either, so a single one proves nothing.
+    pub fn record_unanswered_hello(&mut self) {
+        self.unanswered_hellos += 1;
+        if self.unanswered_hellos >= MAX_UNANSWERED_HELLOS {
+            self.record_protocol(Protocol::Two);
         }
     }
 
-    /// Notes whether it takes work from now on.
-    pub fn mark(&mut self, now: Nanos) {
-        if self.takes() {
-            (self.leaving, self.sent_leaving) = (None, 0);
+    /// Updates since when the node is leaving, after a change of its entry or of its drained state.
+    pub fn update_leaving(&mut self, now: Nanos) {
+        if self.accepts_work() {
+            (self.leaving_since, self.attempts_sent_leaving) = (None, 0);
         } else {
-            self.leaving.get_or_insert(now);
+            self.leaving_since.get_or_insert(now);
         }
     }
 }
 
-/// A state as discovery names it.
-pub fn word(state: ServerState) -> &'static str {
+/// The name of a state in discovery.
+pub fn state_name(state: ServerState) -> &'static str {
     match state {
         ServerState::Ready => "up",
         ServerState::Draining => "draining",
@@ -130,18 +131,18 @@
     use super::*;
 
     #[test]
-    fn a_node_is_greeted_until_it_refuses_or_is_silent_too_often_and_again_once_it_starts_anew() {
+    fn hello_is_sent_until_a_node_refuses_or_ignores_it_too_often_and_again_after_its_restart() {
         let mut node = Node::new("s-7".into(), ServerEntry::default(), false);
-        (1..UNHEARD).for_each(|_| node.left_unheard());
-        assert!(node.greets());
-        // An answer in between shows that it reads greetings.
-        assert!(!node.greeted(Protocol::Three));
-        (1..UNHEARD).for_each(|_| node.left_unheard());
-        assert!(node.greets());
-        node.left_unheard();
-        assert!(!node.greets());
+        (1..MAX_UNANSWERED_HELLOS).for_each(|_| node.record_unanswered_hello());
+        assert!(node.should_send_hello());
+        // An answer in between shows that the node reads HELLO.
+        assert!(!node.record_protocol(Protocol::Three));
+        (1..MAX_UNANSWERED_HELLOS).for_each(|_| node.record_unanswered_hello());
+        assert!(node.should_send_hello());
+        node.record_unanswered_hello();
+        assert!(!node.should_send_hello());
         node.entry.started_at = 5;
-        assert!(node.greets() && node.greeted(Protocol::Two) && !node.greets());
-        assert!(!node.greeted(Protocol::Two));
+        assert!(node.should_send_hello() && node.record_protocol(Protocol::Two) && !node.should_send_hello());
+        assert!(!node.record_protocol(Protocol::Two));
     }
 }
--- a/crates/proxy/src/boxes/placement.rs
+++ b/crates/proxy/src/boxes/placement.rs
@@ -1,178 +1,184 @@
-//! Which connection an attempt goes by: what the choice is made from, and what follows from it. The choice itself is
-//! `pipeline`'s.
+//! Assigns attempts to connections. The choice itself is made by the `pipeline` crate; this module collects its input
+//! and carries it out.
 
 use super::connection::Connection;
 use super::node::Node;
 use super::{Boxes, NewConnection, NodeEvent, QueuedAttempt};
 use addresses::AddressId;
-use calicosaddle::api::{Nanos, ServerId, Status};
+use calicosaddle::api::{Nanos, RequestId, ServerId, Status};
 use pipeline::{Command, ConnectionState, LatencyContext, Placement, PlacementRequest};
 
 impl Boxes {
-    /// Sends an attempt: it will be written at the end of this step of the loop, or when its connection is up.
-    /// Returns the connection, and what it is if it is new; nothing if the attempt ended at once.
+    /// Queues an attempt on a connection. It is written at the end of this turn of the event loop, or once the
+    /// connection is established. Returns the connection's key, with its details if it is new; `None` if the attempt
+    /// ended at once.
     pub fn send(
         &mut self,
         server: ServerId,
-        job: QueuedAttempt,
+        queued: QueuedAttempt,
         now: Nanos,
     ) -> Option<(usize, Option<NewConnection>)> {
         if !self.nodes.contains_key(&server) {
-            self.end(job, Status::NotSent);
+            self.end_unsent(queued, Status::NotSent);
             return None;
         }
-        let Some((key, new)) = self.place(server, &job, now) else {
+        let Some((key, new)) = self.place(server, &queued, now) else {
             let connected = self.nodes.get(&server).is_some_and(|n| !n.connections.is_empty());
-            self.end(job, Status::without_connection(connected));
+            self.end_unsent(queued, Status::without_connection(connected));
             return None;
         };
-        self.put(key, job, now);
+        self.enqueue(key, queued, now);
         Some((key, new))
     }
 
-    /// Puts an attempt on a connection.
-    fn put(&mut self, key: usize, job: QueuedAttempt, now: Nanos) {
-        let c = &mut self.all[key];
-        c.pipe.push(job);
-        if c.up && !std::mem::replace(&mut c.dirty, true) {
-            if c.ready > now {
-                self.resting.insert((c.ready, key));
+    /// Queues an attempt on a connection, and the connection for writing.
+    fn enqueue(&mut self, key: usize, queued: QueuedAttempt, now: Nanos) {
+        let connection = &mut self.connections[key];
+        connection.pipeline.push(queued);
+        if connection.connected && !std::mem::replace(&mut connection.write_queued, true) {
+            if connection.ready_at > now {
+                self.settling.insert((connection.ready_at, key));
                 return;
             }
-            if self.dirty.is_empty() {
-                self.since = now;
+            if self.write_queue.is_empty() {
+                self.batch_started_at = now;
             }
-            self.dirty.push(key);
+            self.write_queue.push(key);
         }
     }
 
-    /// The address that a write has to go over.
+    /// The address that a write must use, if it may have reached the node over that address already.
     ///
-    /// Danger: a write that may have arrived over one address of a node would be another one over the next, should
-    /// the node know repeats by where they come in. It goes over the same address or not at all.
-    fn only(&self, node: &Node, job: &QueuedAttempt) -> Option<AddressId> {
-        let gone = job.query.gone_over.borrow();
-        let gone = gone.iter().find(|(s, _)| *s == node.entry.server).map(|(_, over)| *over);
-        gone.filter(|_| !self.across && node.book.len() > 1)
+    /// A node that detects repeated writes by the address they come in on would execute the write a second time if it
+    /// came over another address. The write uses the same address or is not sent at all.
+    fn required_address(&self, node: &Node, queued: &QueuedAttempt) -> Option<AddressId> {
+        let used = queued.query.gone_over.borrow();
+        let used = used.iter().find(|(server, _)| *server == node.entry.server).map(|(_, address)| *address);
+        used.filter(|_| !self.repeat_writes_across_addresses && node.addresses.len() > 1)
     }
 
-    /// The connection for an attempt, opened if need be.
+    /// Selects the connection for an attempt, opening one if necessary.
     fn place(
         &mut self,
         server: ServerId,
-        job: &QueuedAttempt,
+        queued: &QueuedAttempt,
         now: Nanos,
     ) -> Option<(usize, Option<NewConnection>)> {
         let node = self.nodes.get(&server)?;
-        // One that passes on a long value is held by its client's pace and carries nothing else meanwhile.
-        let passing = |k: &&usize| self.all.get(**k).is_some_and(|c| c.passing);
-        let held = node.connections.iter().filter(passing).count().min(self.per_node);
-        let room =
-            node.connections.len() - held < self.per_node && node.room.allows(node.connections.len(), now);
-        let only = self.only(node, job);
-        let mut place = self.choose(node, job, only, room, now);
+        // A connection that streams a long value goes at its client's pace and carries nothing else meanwhile. Up to
+        // `max_per_node` of them do not count against the limit.
+        let streaming = |key: &&usize| self.connections.get(**key).is_some_and(|c| c.streaming);
+        let streaming = node.connections.iter().filter(streaming).count().min(self.max_per_node);
+        let may_open = node.connections.len() - streaming < self.max_per_node
+            && node.capacity.allows(node.connections.len(), now);
+        let required = self.required_address(node, queued);
+        let mut place = self.choose(node, queued, required, may_open, now);
         if place == Placement::New {
-            if let (Some(key), new) = self.open(server, only, job, now) {
+            if let (Some(key), new) = self.open(server, required, queued, now) {
                 return Some((key, new));
             }
-            // There are no descriptors, or it can't be dialled.
-            place = self.choose(self.nodes.get(&server)?, job, only, false, now);
+            // No descriptor is free, or no address could be dialed: choose among the open connections.
+            place = self.choose(self.nodes.get(&server)?, queued, required, false, now);
         }
         place.key().map(|key| (key, None))
     }
 
-    fn known<'a>(&'a self, node: &'a Node) -> LatencyContext<'a> {
+    fn latency_context<'a>(&'a self, node: &'a Node) -> LatencyContext<'a> {
         LatencyContext { this_box: node.times(), all_boxes: &self.times }
     }
 
     fn choose(
         &self,
         node: &Node,
-        job: &QueuedAttempt,
-        only: Option<AddressId>,
-        room: bool,
+        queued: &QueuedAttempt,
+        required: Option<AddressId>,
+        may_open: bool,
         now: Nanos,
     ) -> Placement<usize> {
-        let kind = job.kind();
-        let seen = node.connections.iter().filter_map(|key| {
-            let c = self.all.get(*key).filter(|c| c.takes(self.fresh, now))?;
-            // One that is not up yet may come up over any address.
-            let fits = if c.up { node.fits(c, only) } else { only.is_none() };
+        let kind = queued.kind();
+        let candidates = node.connections.iter().filter_map(|key| {
+            let c = self.connections.get(*key).filter(|c| c.accepts_attempt(self.idle_limit, now))?;
+            // A connection that is still being established may use any address in the end.
+            let fits = if c.connected { node.can_carry(c, required) } else { required.is_none() };
             fits.then(|| ConnectionState {
                 key: *key,
-                connected: c.up,
-                active_since: if c.up { c.moved } else { c.link.begun },
-                writable_at: c.ready,
+                connected: c.connected,
+                active_since: if c.connected { c.last_active } else { c.link.started_at },
+                writable_at: c.ready_at,
                 depth: c.depth(),
-                head_age: c.pipe.head_age(now),
-                latency: c.pipe.latency(),
-                same_kind: c.pipe.is_uniform(kind),
+                head_age: c.pipeline.head_age(now),
+                latency: c.pipeline.latency(),
+                same_kind: c.pipeline.is_uniform(kind),
             })
         });
-        pipeline::choose_connection(
-            &PlacementRequest { kind, target_time: job.target, may_open: room },
-            seen,
-            self.known(node),
-            &self.pipes,
-            now,
-        )
+        let request = PlacementRequest { kind, target_time: queued.target, may_open };
+        pipeline::choose_connection(&request, candidates, self.latency_context(node), &self.limits, now)
     }
 
-    /// Finds other connections for attempts of which no byte was written.
-    pub(super) fn displace(
+    /// Moves attempts that are entirely unwritten to other connections.
+    pub(super) fn reassign(
         &mut self,
         server: ServerId,
-        jobs: impl IntoIterator<Item = QueuedAttempt>,
+        queued: impl IntoIterator<Item = QueuedAttempt>,
         now: Nanos,
     ) {
-        for job in jobs {
-            let (id, attempt) = job.tag();
-            if let Some((key, new)) = self.send(server, job, now) {
-                self.moved(server, id, attempt, key, new);
+        for queued in queued {
+            let (id, attempt) = queued.tag();
+            if let Some((key, new)) = self.send(server, queued, now) {
+                self.record_reassigned(server, id, attempt, key, new);
             }
         }
     }
 
-    fn moved(&mut self, server: ServerId, id: u64, attempt: u32, key: usize, new: Option<NewConnection>) {
+    fn record_reassigned(
+        &mut self,
+        server: ServerId,
+        id: RequestId,
+        attempt: u32,
+        key: usize,
+        new: Option<NewConnection>,
+    ) {
         if let Some(node) = self.nodes.get_mut(&server) {
-            node.counts.moved += 1;
+            node.stats.moved += 1;
         }
-        self.news.push_back(NodeEvent::Reassigned(id, attempt, key, new));
+        self.events.push_back(NodeEvent::Reassigned(id, attempt, key, new));
     }
 
-    /// A connection has nothing to do any more: it takes what waits longest for one that is not up yet.
-    pub(super) fn relieve(&mut self, key: usize, now: Nanos) {
-        let free = |c: &&Connection| c.up && c.depth() == 0 && c.takes(self.fresh, now);
-        let Some(c) = self.all.get(key).filter(free) else { return };
-        let Some(node) = self.nodes.get(&c.node) else { return };
-        let waits = |k: &&usize| self.all.get(**k).is_some_and(|c| !c.up && c.pipe.has_queued());
-        let slow = node.connections.iter().filter(waits).min_by_key(|k| self.all[**k].link.begun);
-        let Some(slow) = slow.copied() else { return };
-        let fits = |job: &QueuedAttempt| node.fits(c, self.only(node, job));
-        if !self.all[slow].pipe.peek_queued().is_some_and(fits) {
+    /// Gives a connection that has become idle the next attempt of the node's longest-connecting connection.
+    pub(super) fn take_over_waiting(&mut self, key: usize, now: Nanos) {
+        let idle = |c: &&Connection| c.connected && c.depth() == 0 && c.accepts_attempt(self.idle_limit, now);
+        let Some(c) = self.connections.get(key).filter(idle) else { return };
+        let Some(node) = self.nodes.get(&c.server) else { return };
+        let waits =
+            |k: &&usize| self.connections.get(**k).is_some_and(|c| !c.connected && c.pipeline.has_queued());
+        let connecting =
+            node.connections.iter().filter(waits).min_by_key(|k| self.connections[**k].link.started_at);
+        let Some(connecting) = connecting.copied() else { return };
+        let fits = |queued: &QueuedAttempt| node.can_carry(c, self.required_address(node, queued));
+        if !self.connections[connecting].pipeline.peek_queued().is_some_and(fits) {
             return;
         }
-        let server = c.node;
-        let Some(job) = self.all[slow].pipe.pop_queued() else { return };
-        let (id, attempt) = job.tag();
-        self.put(key, job, now);
-        self.moved(server, id, attempt, key, None);
+        let server = c.server;
+        let Some(queued) = self.connections[connecting].pipeline.pop_queued() else { return };
+        let (id, attempt) = queued.tag();
+        self.enqueue(key, queued, now);
+        self.record_reassigned(server, id, attempt, key, None);
     }
 
-    /// What waits unwritten behind a head that has outlasted its history goes elsewhere, if there is elsewhere.
-    pub(super) fn pass_by_stalled(&mut self, now: Nanos) {
+    /// Reassigns the unwritten attempts behind each head that has taken longer than its history explains.
+    pub(super) fn reassign_behind_stalled(&mut self, now: Nanos) {
         let stalled = |(key, c): (usize, &Connection)| {
-            let node = self.nodes.get(&c.node)?;
-            let age = c.pipe.head_age(now).filter(|_| c.up && c.pipe.has_queued())?;
-            let kind = c.pipe.head_kind()?;
-            let history = c.pipe.latency();
-            pipeline::is_stalled(age, history, kind, self.known(node), &self.pipes).then_some(key)
+            let node = self.nodes.get(&c.server)?;
+            let age = c.pipeline.head_age(now).filter(|_| c.connected && c.pipeline.has_queued())?;
+            let kind = c.pipeline.head_kind()?;
+            let latency = c.pipeline.latency();
+            pipeline::is_stalled(age, latency, kind, self.latency_context(node), &self.limits).then_some(key)
         };
-        let stalled: Vec<usize> = self.all.iter().filter_map(stalled).collect();
+        let stalled: Vec<usize> = self.connections.iter().filter_map(stalled).collect();
         for key in stalled {
-            let Some(c) = self.all.get_mut(key) else { continue };
-            let (server, jobs) = (c.node, c.pipe.take_queued());
-            self.displace(server, jobs, now);
+            let Some(c) = self.connections.get_mut(key) else { continue };
+            let (server, queued) = (c.server, c.pipeline.take_queued());
+            self.reassign(server, queued, now);
         }
     }
 }
--- a/crates/proxy/src/boxes/read.rs
+++ b/crates/proxy/src/boxes/read.rs
@@ -1,4 +1,4 @@
-//! Reading from cache nodes.
+//! Reading from cache nodes: replies, long values in parts, pushes and the answer to `HELLO`.
 
 use super::connection::Connection;
 use super::{Boxes, NodeEvent};
@@ -6,72 +6,79 @@
 use resp::{Item, Kind, Part, Protocol, Reply, ReplyReader};
 use std::io::{self, Read};
 
-/// Reads of one connection before others have their turn.
-const READS: usize = 4;
+/// Reads from one connection before other sockets have their turn.
+const MAX_READS_PER_TURN: usize = 4;
 
 impl Boxes {
-    /// True if some connection may have more input without saying so again.
+    /// Whether some connection may have unread input that causes no further readiness event.
     pub fn has_unread_input(&self) -> bool {
-        !self.again.is_empty()
+        !self.unread.is_empty()
     }
 
-    /// Connections to read on with.
+    /// Takes the keys of the connections that may have unread input.
     pub fn take_unread(&mut self) -> Vec<usize> {
-        std::mem::take(&mut self.again)
+        std::mem::take(&mut self.unread)
     }
 
-    /// Drives a connection as far as its socket allows, up to a bound.
+    /// Handles readiness of a connection's socket: connects, writes and reads, up to a bound. `closed` states that the
+    /// other end is known to have closed or failed.
     pub fn ready(&mut self, key: usize, closed: bool, buffer: &mut [u8], now: Nanos) {
-        let Some(c) = self.all.get_mut(key) else { return };
-        if !c.up {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        if !c.connected {
             match c.link.socket.is_up() {
-                Ok(true) => {}
+                Ok(true) => self.record_connected(key, now),
                 Ok(false) => return,
                 Err(_) => {
                     self.dial_failed(key, false, now);
                     return;
                 }
             }
-            c.up = true;
-            c.race.attempt_succeeded(c.link.over);
-            self.rivals -= usize::from(c.rival.take().is_some());
-            let server = c.node;
-            if let Some(node) = self.nodes.get_mut(&server) {
-                node.book.connected(c.link.over, now.saturating_sub(c.link.begun));
-                for times in [node.measured(), &mut self.times] {
-                    times.record_connect(now.saturating_sub(c.link.begun));
-                }
-            }
-            self.next_rival(server, now);
         }
         self.flush(key, now);
         self.read(key, closed, buffer, now);
-        self.relieve(key, now);
+        self.take_over_waiting(key, now);
     }
 
-    /// Reads what has come, up to a bound.
+    /// A connection is established: ends its race.
+    fn record_connected(&mut self, key: usize, now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        c.connected = true;
+        c.race.attempt_succeeded(c.link.address);
+        self.staggered_dials -= usize::from(c.staggered.take().is_some());
+        let server = c.server;
+        if let Some(node) = self.nodes.get_mut(&server) {
+            let connect_time = now.saturating_sub(c.link.started_at);
+            node.addresses.connected(c.link.address, connect_time);
+            for times in [node.times_mut(), &mut self.times] {
+                times.record_connect(connect_time);
+            }
+        }
+        self.dial_next_staggered(server, now);
+    }
+
+    /// Reads received bytes, up to a bound.
     pub(super) fn read(&mut self, key: usize, closed: bool, buffer: &mut [u8], now: Nanos) {
-        for _ in 0..READS {
-            let Some(c) = self.all.get_mut(key).filter(|c| !c.paused) else { return };
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(c) = self.connections.get_mut(key).filter(|c| !c.paused) else { return };
             match c.link.socket.read(buffer) {
                 Ok(0) => {
-                    self.lost(key, now);
+                    self.connection_lost(key, now);
                     return;
                 }
                 Ok(n) => {
-                    (c.heard, c.unread) = (now, false);
-                    if !c.speaks_three() || c.pipe.in_flight() > 0 {
-                        c.moved = now;
+                    (c.last_read, c.has_unread) = (now, false);
+                    if !c.uses_resp3() || c.pipeline.in_flight() > 0 {
+                        c.last_active = now;
                     }
-                    if !self.input(key, &buffer[..n], now) {
-                        self.surplus(key, now);
+                    if !self.process_input(key, &buffer[..n], now) {
+                        self.close_unsolicited(key, now);
                         return;
                     }
-                    if self.all.get(key).is_some_and(|c| c.passing) {
-                        // What its client has room for is known once this has been passed on.
+                    if self.connections.get(key).is_some_and(|c| c.streaming) {
+                        // The client's remaining buffer space is known once these bytes have been passed on.
                         break;
                     }
-                    // A short read emptied the socket; only an end of the stream may stand behind it.
+                    // A short read has emptied the socket; only an end of stream can follow.
                     if n < buffer.len() && !closed {
                         return;
                     }
@@ -79,140 +86,149 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    self.lost(key, now);
+                    self.connection_lost(key, now);
                     return;
                 }
             }
         }
-        self.again.push(key);
+        self.unread.push(key);
     }
 
-    /// Takes replies; false if the connection can't be used any more.
-    fn input(&mut self, key: usize, mut input: &[u8], now: Nanos) -> bool {
+    /// Processes received bytes; returns false if the connection must be closed because they are unsolicited or no
+    /// attempt is waiting on it.
+    fn process_input(&mut self, key: usize, mut input: &[u8], now: Nanos) -> bool {
         while !input.is_empty() {
-            let Some(c) = self.all.get_mut(key) else { return true };
-            if let Some(greeting) = &mut c.greeting {
-                let node = self.nodes.get_mut(&c.node);
-                let Ok((used, answer)) = greeting.feed(input) else {
-                    node.map(|n| n.greeted(Protocol::Two));
-                    self.spoilt(key);
-                    return true;
-                };
+            let Some(c) = self.connections.get_mut(key) else { return true };
+            if c.hello_reply.is_some() {
+                let Some(used) = self.process_hello_reply(key, input) else { return true };
                 input = &input[used..];
-                let Some(answer) = answer else { continue };
-                let protocol = *answer.as_ref().unwrap_or(&Protocol::Two);
-                (c.greeting, c.reader) = (None, ReplyReader::new(protocol));
-                let Some(node) = node else { continue };
-                if let (true, Err(error)) = (node.greeted(protocol), answer) {
-                    let error = String::from_utf8_lossy(&error).escape_debug().to_string();
-                    eprintln!("{}: refuses RESP3 ({error}); RESP2 until it starts anew", node.name);
-                }
                 continue;
             }
-            let front = c.pipe.head();
-            let three = c.speaks_three();
-            // Danger: an answer that nobody asked for would pass for the next request's.
-            if front.is_none() && !three {
+            let head = c.pipeline.head();
+            let resp3 = c.uses_resp3();
+            // An unsolicited reply would be taken for the reply to the next command.
+            if head.is_none() && !resp3 {
                 return false;
             }
             let Ok((used, item)) = c.reader.feed(input) else {
-                self.spoilt(key);
+                self.close_unreadable(key);
                 return true;
             };
-            if !three && front != Some(None) && !matches!(item, Some(Item::Part(_))) {
-                c.reply.extend_from_slice(&input[..used]);
+            if !resp3 && head != Some(None) && !matches!(item, Some(Item::Part(_))) {
+                c.reply_bytes.extend_from_slice(&input[..used]);
             }
             input = &input[used..];
-            let item = match item {
-                Some(Item::Part(part)) => match self.part(key, part) {
-                    Some(reply) => Some(Item::Reply(reply, Vec::new())),
-                    None => continue,
-                },
-                item => item,
-            };
-            let Some(c) = self.all.get_mut(key) else { return true };
             let (reply, value) = match item {
                 Some(Item::Reply(reply, value)) => (reply, value),
-                Some(Item::Push(told)) => {
-                    self.news.push_back(NodeEvent::Push(c.node, told));
+                Some(Item::Part(part)) => match self.process_part(key, part) {
+                    Some(reply) => (reply, Vec::new()),
+                    None => continue,
+                },
+                Some(Item::Push(frames)) => {
+                    self.events.push_back(NodeEvent::Push(c.server, frames));
                     continue;
                 }
-                Some(Item::Part(_)) | None => continue,
+                None => continue,
             };
-            let Some(answered) = c.pipe.complete_head(now) else { return false };
-            let bytes = if three { value } else { std::mem::take(&mut c.reply) };
-            let passed = std::mem::take(&mut c.passing);
-            (c.answered, c.ready) =
-                (now, if c.depth() == 0 { now + self.pipes.settle_delay.duration() } else { now });
-            let (server, first) = (c.node, !std::mem::replace(&mut c.used, true));
-            if let Some(node) = self.nodes.get_mut(&c.node) {
-                node.book.answer_received(c.link.over, answered.latency, now);
-                for times in [node.measured(), &mut self.times] {
-                    times.record_answer(
-                        answered.kind,
-                        answered.pipelined,
-                        answered.latency,
-                        answered.head_time,
-                    );
-                }
-            }
-            if c.rested > 0 {
-                self.rests.used(std::mem::take(&mut c.rested), false);
+            if !self.process_reply(key, reply, value, now) {
+                return false;
             }
-            if first {
-                let answering = self.answering(server);
-                self.nodes.get_mut(&server).into_iter().for_each(|n| n.room.record_answering(answering));
+        }
+        // If only cancelled attempts are left, closing the connection spares the node their work.
+        self.connections.get(key).is_none_or(|c| !c.pipeline.has_no_waiters() || c.pipeline.in_flight() == 0)
+    }
+
+    /// Processes the answer to `HELLO`; returns how many bytes belong to it, or `None` if the connection was closed.
+    fn process_hello_reply(&mut self, key: usize, input: &[u8]) -> Option<usize> {
+        let c = self.connections.get_mut(key)?;
+        let node = self.nodes.get_mut(&c.server);
+        let Ok((used, answer)) = c.hello_reply.as_mut()?.feed(input) else {
+            node.map(|n| n.record_protocol(Protocol::Two));
+            self.close_unreadable(key);
+            return None;
+        };
+        let Some(answer) = answer else { return Some(used) };
+        let protocol = *answer.as_ref().unwrap_or(&Protocol::Two);
+        (c.hello_reply, c.reader) = (None, ReplyReader::new(protocol));
+        let Some(node) = node else { return Some(used) };
+        if let (true, Err(error)) = (node.record_protocol(protocol), answer) {
+            let error = String::from_utf8_lossy(&error).escape_debug().to_string();
+            eprintln!("{}: refused HELLO 3 ({error}); using RESP2 until the node restarts", node.name);
+        }
+        Some(used)
+    }
+
+    /// Processes a complete reply; returns false if no command is waiting for one.
+    fn process_reply(&mut self, key: usize, reply: Reply, value: Vec<u8>, now: Nanos) -> bool {
+        let Some(c) = self.connections.get_mut(key) else { return true };
+        let Some(answered) = c.pipeline.complete_head(now) else { return false };
+        let bytes = if c.uses_resp3() { value } else { std::mem::take(&mut c.reply_bytes) };
+        let streamed = std::mem::take(&mut c.streaming);
+        c.last_reply = now;
+        c.ready_at = if c.depth() == 0 { now + self.limits.settle_delay.duration() } else { now };
+        let (server, is_first) = (c.server, !std::mem::replace(&mut c.has_replied, true));
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            node.addresses.answer_received(c.link.address, answered.latency, now);
+            for times in [node.times_mut(), &mut self.times] {
+                times.record_answer(answered.kind, answered.pipelined, answered.latency, answered.head_time);
             }
-            let Some((id, attempt)) = answered.tag else { continue };
-            self.news.push_back(match reply.kind {
-                _ if passed => NodeEvent::ValueComplete(id, reply),
-                Kind::Served => {
-                    let took = (!answered.pipelined).then_some(answered.latency);
-                    NodeEvent::Served(id, attempt, reply, bytes, took)
-                }
-                Kind::Busy => NodeEvent::Ended(id, attempt, Status::Rejected, reply),
-                Kind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
-            });
         }
-        // Only attempts that are over are left: closing spares the node their work.
-        self.all.get(key).is_none_or(|c| !c.pipe.has_no_waiters() || c.pipe.in_flight() == 0)
+        if c.idle_before_write > 0 {
+            self.idle_outcomes.record(std::mem::take(&mut c.idle_before_write), false);
+        }
+        if is_first {
+            let replied = self.replied_connections(server);
+            self.nodes.get_mut(&server).into_iter().for_each(|n| n.capacity.record_answering(replied));
+        }
+        let Some((id, attempt)) = answered.tag else { return true };
+        self.events.push_back(match reply.kind {
+            _ if streamed => NodeEvent::ValueComplete(id, reply),
+            Kind::Served => {
+                let response_time = (!answered.pipelined).then_some(answered.latency);
+                NodeEvent::Served(id, attempt, reply, bytes, response_time)
+            }
+            Kind::Busy => NodeEvent::Ended(id, attempt, Status::Rejected, reply),
+            Kind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
+        });
+        true
     }
 
-    /// Takes a part of a long value; its reply, once that is whole. The parts of one that nobody waits for any more
-    /// are dropped.
-    fn part(&mut self, key: usize, part: Part) -> Option<Reply> {
-        let c = self.all.get_mut(key)?;
-        c.reply.clear();
-        if let Some((id, attempt)) = c.pipe.head().flatten() {
+    /// Processes a part of a long value; returns its reply once that is complete. The parts of a value whose attempt
+    /// was cancelled are dropped.
+    fn process_part(&mut self, key: usize, part: Part) -> Option<Reply> {
+        let c = self.connections.get_mut(key)?;
+        c.reply_bytes.clear();
+        if let Some((id, attempt)) = c.pipeline.head().flatten() {
             if let Some((shape, length)) = part.head {
-                c.passing = true;
-                self.news.push_back(NodeEvent::ValueStarted(id, attempt, key, shape, length));
+                c.streaming = true;
+                self.events.push_back(NodeEvent::ValueStarted(id, attempt, key, shape, length));
             }
-            if c.passing && !part.bytes.is_empty() {
-                self.news.push_back(NodeEvent::ValueBytes(id, part.bytes));
+            if c.streaming && !part.bytes.is_empty() {
+                self.events.push_back(NodeEvent::ValueBytes(id, part.bytes));
             }
         }
         part.tail
     }
 
-    /// The connection, if it passes on this request's answer.
-    fn passing(&mut self, key: usize, id: RequestId) -> Option<&mut Connection> {
-        let of = |c: &Connection| c.pipe.head().flatten().is_some_and(|(first, _)| first == id);
-        self.all.get_mut(key).filter(|c| c.passing && of(c))
+    /// The connection, if it streams the long value of this request.
+    fn streaming_connection(&mut self, key: usize, id: RequestId) -> Option<&mut Connection> {
+        let head_is_request =
+            |c: &Connection| c.pipeline.head().flatten().is_some_and(|(head, _)| head == id);
+        self.connections.get_mut(key).filter(|c| c.streaming && head_is_request(c))
     }
 
-    /// Reads nothing more of a connection for now, or goes on.
+    /// Pauses or resumes reading a long value.
     pub fn set_paused(&mut self, key: usize, id: RequestId, paused: bool, now: Nanos) {
-        let Some(c) = self.passing(key, id) else { return };
+        let Some(c) = self.streaming_connection(key, id) else { return };
         if std::mem::replace(&mut c.paused, paused) && !paused {
-            c.heard = now;
-            self.again.push(key);
+            c.last_read = now;
+            self.unread.push(key);
         }
     }
 
-    /// Gives up a long value that nobody waits for any more.
+    /// Closes a connection that streams a long value which no client waits for any more.
     pub fn stop_streaming(&mut self, key: usize, id: RequestId) {
-        if self.passing(key, id).is_some() {
+        if self.streaming_connection(key, id).is_some() {
             self.close(key);
         }
     }
--- a/crates/proxy/src/boxes/settings.rs
+++ b/crates/proxy/src/boxes/settings.rs
@@ -1,63 +1,63 @@
-//! What the files say of connections to cache nodes.
+//! Connection settings that are derived from the operator's file and the platform's configuration.
 
 use super::MS;
 use crate::platform::config::Config;
 use pipeline::{PipelineConfig, PlacementPolicy, SettleDelay};
 use resp::{Frame, Protocol};
 
-/// The longest password that nodes are told.
-const MAX_PASSWORD: usize = 512;
+/// The longest password that is sent to cache nodes.
+const MAX_PASSWORD_BYTES: usize = 512;
 
-/// What connections are greeted with, if the operator's file allows RESP3.
+/// The `HELLO 3` command that opens each connection, or `None` if the operator's file does not allow RESP3.
 ///
 /// # Errors
-/// The key and what is wrong with it.
-pub fn hello_command(told: &operator::Boxes) -> Result<Option<Vec<u8>>, String> {
+/// The password file is unreadable or its content is out of bounds; the message names the key and the file.
+pub fn hello_command(options: &operator::Boxes) -> Result<Option<Vec<u8>>, String> {
     let mut words = vec![Frame::text("HELLO"), Frame::text("3")];
-    if let (Some(user), Some(path)) = (&told.user, &told.password_file) {
-        let fault = |what: String| format!("boxes.password_file: {}: {what}", path.display());
-        let password = std::fs::read_to_string(path).map_err(|e| fault(format!("can't be read: {e}")))?;
+    if let (Some(user), Some(path)) = (&options.user, &options.password_file) {
+        let error = |what: String| format!("boxes.password_file: {}: {what}", path.display());
+        let password = std::fs::read_to_string(path).map_err(|e| error(format!("can't be read: {e}")))?;
         let password = password.trim_end_matches(['\r', '\n']);
-        if password.is_empty() || password.len() > MAX_PASSWORD {
-            return Err(fault(format!("does not hold a password of 1 to {MAX_PASSWORD} bytes")));
+        if password.is_empty() || password.len() > MAX_PASSWORD_BYTES {
+            return Err(error(format!("must contain a password of 1 to {MAX_PASSWORD_BYTES} bytes")));
         }
         words.extend([Frame::text("AUTH"), Frame::text(user), Frame::text(password)]);
     }
     let mut bytes = Vec::new();
     Frame::Array(words).write(Protocol::Two, &mut bytes);
-    Ok(told.resp3.then_some(bytes))
+    Ok(options.resp3.then_some(bytes))
 }
 
-/// What the operator's file says of pipelines, within the platform's bounds: one command at a time unless it says
-/// otherwise.
+/// The pipeline limits of the operator's file, checked against the platform's bounds. Without other settings a
+/// connection carries one command at a time.
 ///
-/// Danger: answers are told apart by their order alone, and boxes may send more than was asked for right behind a good
-/// answer. A second command that is on its way to the box by then is given that surplus as its answer, and nothing in
-/// RESP shows it. What goes out one at a time finds such bytes before the next command is written.
+/// Replies are matched to commands by order alone, and cache nodes may send unsolicited bytes right behind a valid
+/// reply. A second command that is already on its way would be given those bytes as its reply, and nothing in RESP
+/// reveals it. With one command at a time the bytes are detected before the next command is written.
 ///
 /// # Errors
-/// A line for each key that goes past these: the key, its value and the bound.
-pub fn pipeline_limits(told: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
-    let most = config.streams;
-    let over = |(key, depth): &(&str, Option<usize>)| {
-        let depth = depth.filter(|d| *d > most)?;
-        Some(format!("pipeline.{key}: is {depth}; settings.caps.streams_per_conn allows {most}"))
+/// One line for each key that exceeds its bound, with the key, its value and the bound.
+pub fn pipeline_limits(options: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
+    let max_depth = config.streams;
+    let bound_error = |(key, depth): &(&str, Option<usize>)| {
+        let depth = depth.filter(|d| *d > max_depth)?;
+        Some(format!("pipeline.{key}: is {depth}; settings.caps.streams_per_conn allows {max_depth}"))
     };
-    let faults: Vec<String> =
-        [("reads", told.reads), ("writes", told.writes)].iter().filter_map(over).collect();
-    if !faults.is_empty() {
-        return Err(faults.join("\n"));
+    let depths = [("reads", options.reads), ("writes", options.writes)];
+    let errors: Vec<String> = depths.iter().filter_map(bound_error).collect();
+    if !errors.is_empty() {
+        return Err(errors.join("\n"));
     }
-    let depth = |reads_or_writes: Option<usize>| reads_or_writes.filter(|_| told.enabled).unwrap_or(1);
-    let depth = [depth(told.reads), depth(told.writes)];
-    // Where commands go behind one another anyway, a rest before the first of them guards nothing.
-    let rest = told.rest_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
+    let depth = |configured: Option<usize>| configured.filter(|_| options.enabled).unwrap_or(1);
+    let depth = [depth(options.reads), depth(options.writes)];
+    // A settle delay before the first command is useless where further commands follow without one.
+    let settle_delay = options.rest_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
     Ok(PipelineConfig {
-        placement: if told.expected { PlacementPolicy::Expected } else { PlacementPolicy::Fixed },
+        placement: if options.expected { PlacementPolicy::Expected } else { PlacementPolicy::Fixed },
         max_depth: depth,
-        separate_kinds: told.apart,
-        head_quantile: told.head_quantile,
-        handshake_cost: told.handshake_cost,
-        settle_delay: SettleDelay::new(rest),
+        separate_kinds: options.apart,
+        head_quantile: options.head_quantile,
+        handshake_cost: options.handshake_cost,
+        settle_delay: SettleDelay::new(settle_delay),
     })
 }
--- a/crates/proxy/src/boxes/socket.rs
+++ b/crates/proxy/src/boxes/socket.rs
@@ -1,4 +1,4 @@
-//! A connection's socket, whatever its family.
+//! Non-blocking stream sockets over TCP and Unix-domain sockets.
 
 use addresses::{Address, AddressId};
 use calicosaddle::api::Nanos;
@@ -8,7 +8,7 @@
 use std::io::{self, IoSlice, Read, Write};
 use std::mem::MaybeUninit;
 
-/// A stream to a cache node.
+/// A stream socket to a cache node.
 #[derive(Debug)]
 pub enum Socket {
     /// Over IPv4 or IPv6.
@@ -17,19 +17,19 @@
     Unix(UnixStream),
 }
 
-/// A connection attempt to one address, and what became of it.
+/// A socket that connects, or is connected, to one address of a node.
 #[derive(Debug)]
 pub struct Dial {
-    /// The address.
-    pub over: AddressId,
+    /// The address in the node's address table.
+    pub address: AddressId,
     /// The socket.
     pub socket: Socket,
-    /// When it was begun.
-    pub begun: Nanos,
+    /// When connecting was started.
+    pub started_at: Nanos,
 }
 
 impl Socket {
-    /// Begins to connect.
+    /// Starts to connect, without blocking.
     pub fn connect(address: &Address) -> io::Result<Socket> {
         match address {
             Address::Tcp(address) => {
@@ -37,12 +37,15 @@
                 let _ = stream.set_nodelay(true);
                 Ok(Socket::Tcp(stream))
             }
-            // A full backlog is an error here: there is no event to wait for.
+            // A full backlog is an error here, since no readiness event would follow.
             Address::Unix(path) => UnixStream::connect(path).map(Socket::Unix),
         }
     }
 
-    /// Has it come up? An error if it will not.
+    /// Whether the socket is connected.
+    ///
+    /// # Errors
+    /// Connecting has failed.
     pub fn is_up(&self) -> io::Result<bool> {
         let (error, peer) = match self {
             Socket::Tcp(s) => (s.take_error()?, s.peer_addr().map(|_| ())),
@@ -56,7 +59,7 @@
         }
     }
 
-    /// Nothing waits to be read, and its other end has not closed.
+    /// Whether there is neither unread input nor an end of stream.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = match self {
@@ -73,12 +76,12 @@
         }
     }
 
-    /// Has the loop woken by it, under this token.
+    /// Registers for readiness events under a token.
     pub fn register(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         registry.register(self.source(), token, Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// The same under another token than before.
+    /// Changes the token of the registration.
     pub fn reregister(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         registry.reregister(self.source(), token, Interest::READABLE | Interest::WRITABLE)
     }
--- a/crates/proxy/src/boxes/status.rs
+++ b/crates/proxy/src/boxes/status.rs
@@ -1,7 +1,7 @@
-//! What is told of cache nodes and their connections.
+//! Status reports on cache nodes and the connections to them.
 
 use super::connection::Connection;
-use super::node::{word, Node};
+use super::node::{state_name, Node};
 use super::{Boxes, MS};
 use crate::platform::discovery::Names;
 use addresses::Address;
@@ -10,15 +10,16 @@
 use serde_json::{json, Value};
 
 impl Boxes {
-    /// How many nodes are listed, how many take work, and how many connections and attempts there are.
+    /// Numbers of listed nodes, of nodes that take new work, of connections and of attempts.
     pub fn counts(&self) -> (usize, usize, usize, usize) {
         let listed = self.nodes.values().filter(|n| n.entry.state != ServerState::Removed).count();
-        let usable = self.nodes.values().filter(|n| n.takes()).count();
-        let attempts = self.all.iter().map(|(_, c)| c.depth()).sum();
-        (listed, usable, self.all.len(), attempts)
+        let usable = self.nodes.values().filter(|n| n.accepts_work()).count();
+        let attempts = self.connections.iter().map(|(_, c)| c.depth()).sum();
+        (listed, usable, self.connections.len(), attempts)
     }
 
-    /// The first nodes by name after this one, or only those that are leaving; and whether there are more.
+    /// Status of the first nodes by name after the given one, or only of those that are leaving; and whether more
+    /// follow.
     pub fn status_page(
         &self,
         after: &str,
@@ -27,75 +28,72 @@
         zones: &[String],
         now: Nanos,
     ) -> (Vec<BoxStatus>, bool) {
-        let fits = |n: &&Node| &*n.name > after && (!leaving || n.leaving.is_some());
-        let mut found: Vec<&Node> = self.nodes.values().filter(fits).collect();
+        let matches = |n: &&Node| &*n.name > after && (!leaving || n.leaving_since.is_some());
+        let mut found: Vec<&Node> = self.nodes.values().filter(matches).collect();
         let more = found.len() > limit;
         if more {
             found.select_nth_unstable_by(limit, |a, b| a.name.cmp(&b.name));
             found.truncate(limit);
         }
         found.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        (found.into_iter().map(|n| self.describe(n, zones, now)).collect(), more)
+        (found.into_iter().map(|n| self.node_status(n, zones, now)).collect(), more)
     }
 
-    /// The nodes in discovery's form, by name.
+    /// The nodes in discovery's JSON form, ordered by name.
     pub fn hosts(&self, names: &Names) -> Vec<Value> {
-        let there = |n: &&Node| n.entry.state != ServerState::Removed && !n.book.is_empty();
-        let mut all: Vec<&Node> = self.nodes.values().filter(there).collect();
-        all.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        let name = |all: &[String], i: u32| all.get(i as usize).map_or(Value::Null, |n| json!(n));
+        let is_listed = |n: &&Node| n.entry.state != ServerState::Removed && !n.addresses.is_empty();
+        let mut nodes: Vec<&Node> = self.nodes.values().filter(is_listed).collect();
+        nodes.sort_unstable_by(|a, b| a.name.cmp(&b.name));
+        let name = |names: &[String], i: u32| names.get(i as usize).map_or(Value::Null, |n| json!(n));
         let host = |n: &Node| {
             let e = &n.entry;
-            let dials: Vec<String> = n.book.addresses().map(Address::to_string).collect();
-            let dial = n.book.addresses().find(|a| matches!(a, Address::Tcp(_))).map(Address::to_string);
+            let dials: Vec<String> = n.addresses.addresses().map(Address::to_string).collect();
+            let is_tcp = |a: &&Address| matches!(a, Address::Tcp(_));
+            let dial = n.addresses.addresses().find(is_tcp).map(Address::to_string);
             let mut host = json!({"host": n.name, "dial": dial, "site": name(&names.zones, e.zone),
-                "class": name(&names.kinds, e.kind), "block": e.cell, "health": word(e.state),
+                "class": name(&names.kinds, e.kind), "block": e.cell, "health": state_name(e.state),
                 "share": e.weight, "born_ms": e.started_at / MS});
             if dials.len() != 1 || dial.is_none() {
                 host["dials"] = json!(dials);
             }
             host
         };
-        all.into_iter().map(host).collect()
+        nodes.into_iter().map(host).collect()
     }
 
-    fn describe(&self, node: &Node, zones: &[String], now: Nanos) -> BoxStatus {
-        let depth = |key: &usize| self.all.get(*key).map_or(0, Connection::depth);
+    fn node_status(&self, node: &Node, zones: &[String], now: Nanos) -> BoxStatus {
+        let connections = || node.connections.iter().filter_map(|key| self.connections.get(*key));
         BoxStatus {
             name: node.name.to_string(),
-            address: node.book.addresses().next().map(Address::to_string),
-            addresses: node.book.addresses().map(Address::to_string).collect(),
+            address: node.addresses.addresses().next().map(Address::to_string),
+            addresses: node.addresses.addresses().map(Address::to_string).collect(),
             zone: zones.get(node.entry.zone as usize).cloned(),
-            listed: word(node.entry.state).into(),
-            drained: node.withdrawn,
-            usable: node.takes(),
+            listed: state_name(node.entry.state).into(),
+            drained: node.drained,
+            usable: node.accepts_work(),
             connections: node.connections.len(),
-            resp3: node
-                .connections
-                .iter()
-                .filter(|k| self.all.get(**k).is_some_and(Connection::speaks_three))
-                .count(),
-            attempts: node.connections.iter().map(depth).sum(),
-            pipelines: self.pipelines_of(node, now),
-            sent: node.sent,
-            leaving_ms: node.leaving.map(|at| now.saturating_sub(at) / MS),
-            sent_leaving: node.sent_leaving,
+            resp3: connections().filter(|c| c.uses_resp3()).count(),
+            attempts: connections().map(Connection::depth).sum(),
+            pipelines: self.node_pipeline_stats(node, now),
+            sent: node.attempts_sent,
+            leaving_ms: node.leaving_since.map(|at| now.saturating_sub(at) / MS),
+            sent_leaving: node.attempts_sent_leaving,
         }
     }
 
-    fn pipelines_of(&self, node: &Node, now: Nanos) -> Pipelines {
-        let mut its = node.counts.clone();
-        for c in node.connections.iter().filter_map(|k| self.all.get(*k)) {
-            its.depths[DEPTHS.iter().filter(|edge| c.depth() >= **edge).count()] += 1;
-            its.oldest_head_ms = its.oldest_head_ms.max(c.pipe.head_age(now).unwrap_or(0) / MS);
+    fn node_pipeline_stats(&self, node: &Node, now: Nanos) -> Pipelines {
+        let mut stats = node.stats.clone();
+        for c in node.connections.iter().filter_map(|key| self.connections.get(*key)) {
+            stats.depths[DEPTHS.iter().filter(|edge| c.depth() >= **edge).count()] += 1;
+            stats.oldest_head_ms = stats.oldest_head_ms.max(c.pipeline.head_age(now).unwrap_or(0) / MS);
         }
-        its
+        stats
     }
 
-    /// All connections, as pipelines.
+    /// Pipeline counters over all connections, including those of removed nodes.
     pub fn pipeline_stats(&self, now: Nanos) -> Pipelines {
-        let mut all = self.past.clone();
-        self.nodes.values().for_each(|node| all.add(&self.pipelines_of(node, now)));
-        all
+        let mut total = self.removed_stats.clone();
+        self.nodes.values().for_each(|node| total.add(&self.node_pipeline_stats(node, now)));
+        total
     }
 }
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -1,113 +1,111 @@
-//! Writing to cache nodes: all that waits on a connection leaves in one go, each attempt checked when its turn comes.
+//! Writing to cache nodes: everything queued on a connection goes out in one batch, and each attempt is checked when it
+//! enters the batch.
 
-use super::{Boxes, NodeEvent, KEPT, MS};
+use super::connection::Connection;
+use super::{Boxes, NodeEvent, MAX_IDLE_BUFFER_BYTES, MS};
 use calicosaddle::api::{Nanos, Status};
 use resp::{Greeting, Reply};
 use std::io::{self, IoSlice, Write};
 
+/// Bytes read at once from a connection that has unread input before a write.
+const CHECK_BUFFER_BYTES: usize = 4 << 10;
+/// Ends each line and each value in RESP.
+const LINE_END: &[u8] = b"\r\n";
+
+impl Connection {
+    /// Writes the unwritten part of the batch, as far as the socket takes it in one call.
+    fn write_batch(&mut self) -> io::Result<usize> {
+        let value = self.long_value.as_ref().map_or(&[][..], |query| query.value());
+        let end = if self.long_value.is_some() { LINE_END } else { &[] };
+        let mut skip = self.pipeline.batch_progress().1;
+        let parts = [&self.write_buffer[..], value, end].map(|part| {
+            let skipped = skip.min(part.len());
+            skip -= skipped;
+            IoSlice::new(&part[skipped..])
+        });
+        match self.long_value {
+            Some(_) => self.link.socket.write_vectored(&parts),
+            None => self.link.socket.write(&parts[0]),
+        }
+    }
+}
+
 impl Boxes {
-    /// When something is to be written: what the operator has wait for more, or what waits for the end of a rest.
+    /// When the next write is due: at the end of the operator's batch delay or of the first settle delay.
     pub fn next_write_at(&self) -> Option<Nanos> {
-        self.batch_due().into_iter().chain(self.resting.first().map(|(at, _)| *at)).min()
+        self.batch_due().into_iter().chain(self.settling.first().map(|(at, _)| *at)).min()
     }
 
     fn batch_due(&self) -> Option<Nanos> {
-        (!self.dirty.is_empty()).then(|| self.since + self.told.batch_delay_us * 1_000)
+        (!self.write_queue.is_empty())
+            .then(|| self.batch_started_at + self.pipeline_options.batch_delay_us * 1_000)
     }
 
-    /// Writes to the connections that something was put on; true if there was one.
+    /// Writes to the connections whose write is due; returns whether any was due.
     ///
-    /// Guards against bytes that nobody asked for: each connection that rested is looked at before it is used again,
-    /// whatever the loop has heard of it so far, since what is there would pass for the next answer. It should catch
-    /// ends that are not yet known as well. It costs a system call for each batch. In RESP3 the bytes may be a push:
-    /// they are read first, and a connection that has more of them than that is left alone until the loop has.
+    /// The socket of each idle connection is checked before it is written to, whether or not the event loop has
+    /// reported input: unsolicited bytes would be taken for the next reply, and a close may not be known yet. This
+    /// costs one system call per batch. In RESP3 the bytes may be a push, so they are read first; a connection that
+    /// has even more input than that gets no new attempt until the event loop has read it.
     pub fn write_due(&mut self, now: Nanos) -> bool {
         if self.next_write_at().is_none_or(|at| now < at) {
             return false;
         }
         if self.batch_due().is_some_and(|at| at <= now) {
-            while let Some(key) = self.dirty.pop() {
-                self.look_and_flush(key, now);
+            while let Some(key) = self.write_queue.pop() {
+                self.check_and_flush(key, now);
             }
         }
-        while let Some(over) = self.resting.first().copied().filter(|(at, _)| *at <= now) {
-            self.resting.remove(&over);
-            self.look_and_flush(over.1, now);
+        while let Some(settled) = self.settling.first().copied().filter(|(at, _)| *at <= now) {
+            self.settling.remove(&settled);
+            self.check_and_flush(settled.1, now);
         }
         true
     }
 
-    fn look_and_flush(&mut self, key: usize, now: Nanos) {
-        let Some(c) = self.all.get_mut(key).filter(|c| c.ready <= now) else { return };
-        if !std::mem::take(&mut c.dirty) {
-            // Another connection has come to this place since, or it was written to.
+    fn check_and_flush(&mut self, key: usize, now: Nanos) {
+        let Some(c) = self.connections.get_mut(key).filter(|c| c.ready_at <= now) else { return };
+        if !std::mem::take(&mut c.write_queued) {
+            // The key belongs to another connection by now, or the batch has already been written.
             return;
         }
-        if c.pipe.in_flight() > 0 || c.pipe.has_batch() || !c.pipe.has_queued() || c.link.socket.is_quiet() {
+        if c.pipeline.in_flight() > 0
+            || c.pipeline.has_batch()
+            || !c.pipeline.has_queued()
+            || c.link.socket.is_quiet()
+        {
             self.flush(key, now);
             return;
         }
-        if !c.speaks_three() {
-            self.close_and_go_on(key, now);
+        if !c.uses_resp3() {
+            self.close_and_reassign(key, now);
             return;
         }
-        let (server, mut jobs) = (c.node, c.pipe.take_queued());
-        self.read(key, false, &mut [0; 4 << 10], now);
-        if let Some(c) = self.all.get_mut(key) {
-            c.unread = !c.link.socket.is_quiet();
-            if !c.unread && !c.midway() {
-                jobs.drain(..).for_each(|job| c.pipe.push(job));
+        let (server, mut queued) = (c.server, c.pipeline.take_queued());
+        self.read(key, false, &mut [0; CHECK_BUFFER_BYTES], now);
+        if let Some(c) = self.connections.get_mut(key) {
+            c.has_unread = !c.link.socket.is_quiet();
+            if !c.has_unread && !c.mid_reply() {
+                queued.drain(..).for_each(|attempt| c.pipeline.push(attempt));
                 self.flush(key, now);
             }
         }
-        self.displace(server, jobs, now);
+        self.reassign(server, queued, now);
     }
 
-    /// Writes what the socket takes.
+    /// Writes until nothing is left or the socket takes no more.
     pub(super) fn flush(&mut self, key: usize, now: Nanos) {
-        while let Some(c) = self.all.get_mut(key).filter(|c| c.ready <= now || c.pipe.has_batch()) {
-            if !c.pipe.has_batch() && !self.fill(key, now) {
+        while let Some(c) =
+            self.connections.get_mut(key).filter(|c| c.ready_at <= now || c.pipeline.has_batch())
+        {
+            if !c.pipeline.has_batch() && !self.fill_batch(key, now) {
                 return;
             }
-            let Some(c) = self.all.get_mut(key) else { return };
-            let value = c.long.as_ref().map_or(&[][..], |query| query.value());
-            let end = if c.long.is_some() { &b"\r\n"[..] } else { &[] };
-            let mut skip = c.pipe.batch_progress().1;
-            let parts = [&c.out[..], value, end].map(|part| {
-                let n = skip.min(part.len());
-                skip -= n;
-                IoSlice::new(&part[n..])
-            });
-            let wrote = match c.long {
-                Some(_) => c.link.socket.write_vectored(&parts),
-                None => c.link.socket.write(&parts[0]),
-            };
-            match wrote {
-                Ok(n) => {
-                    c.moved = now;
-                    if let Some(node) = self.nodes.get_mut(&c.node) {
-                        node.counts.writes += 1;
-                    }
-                    let (place, written) = ((c.node, c.link.over), &mut self.written);
-                    c.pipe.record_written(n, now, |job| {
-                        *written += 1;
-                        if job.query.write {
-                            job.query.gone_over.borrow_mut().push(place);
-                        }
-                    });
-                    if !c.pipe.has_batch() {
-                        c.long = None;
-                        c.out.clear();
-                        c.out.shrink_to(KEPT);
-                    }
-                }
+            let Some(c) = self.connections.get_mut(key) else { return };
+            match c.write_batch() {
+                Ok(bytes) => self.record_written(key, bytes, now),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    // What is not begun is looked at again when there is room.
-                    let left = c.pipe.requeue_unstarted();
-                    if left <= c.out.len() {
-                        c.out.truncate(left);
-                        c.long = None;
-                    }
+                    self.return_unstarted(key);
                     return;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -119,45 +117,82 @@
         }
     }
 
-    /// Puts the next commands together; false if none is left.
-    fn fill(&mut self, key: usize, now: Nanos) -> bool {
-        let Some(c) = self.all.get_mut(key) else { return false };
-        c.out.clear();
-        while (c.out.is_empty() || c.out.len() < self.told.batch_bytes) && c.long.is_none() {
-            let Some(job) = c.pipe.pop_queued() else { break };
-            let node = self.nodes.get_mut(&c.node);
-            let ready = node.as_ref().is_some_and(|n| n.takes());
-            let listed = node.as_ref().is_some_and(|n| n.book.address(c.link.over).is_some());
-            // Danger: while it waited, its node may have begun to drain or moved, and its time may have gone by.
-            if !ready || !listed || job.deadline <= now {
-                let status = if ready { Status::ConnectFailed } else { Status::NotSent };
-                self.news.push_back(NodeEvent::Ended(job.id, job.attempt, status, Reply::default()));
+    /// Accounts for written bytes of the batch, and for each command that is fully written by them.
+    fn record_written(&mut self, key: usize, bytes: usize, now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        c.last_active = now;
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            node.stats.writes += 1;
+        }
+        let (destination, attempts_written) = ((c.server, c.link.address), &mut self.attempts_written);
+        c.pipeline.record_written(bytes, now, |attempt| {
+            *attempts_written += 1;
+            if attempt.query.write {
+                attempt.query.gone_over.borrow_mut().push(destination);
+            }
+        });
+        if !c.pipeline.has_batch() {
+            c.long_value = None;
+            c.write_buffer.clear();
+            c.write_buffer.shrink_to(MAX_IDLE_BUFFER_BYTES);
+        }
+    }
+
+    /// Returns the commands of the batch that are entirely unwritten to the queue. They are checked again when the
+    /// socket is writable.
+    fn return_unstarted(&mut self, key: usize) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let batch_bytes = c.pipeline.requeue_unstarted();
+        if batch_bytes <= c.write_buffer.len() {
+            c.write_buffer.truncate(batch_bytes);
+            c.long_value = None;
+        }
+    }
+
+    /// Encodes the next commands into the batch; returns false if there are none.
+    fn fill_batch(&mut self, key: usize, now: Nanos) -> bool {
+        let Some(c) = self.connections.get_mut(key) else { return false };
+        c.write_buffer.clear();
+        while (c.write_buffer.is_empty() || c.write_buffer.len() < self.pipeline_options.batch_bytes)
+            && c.long_value.is_none()
+        {
+            let Some(queued) = c.pipeline.pop_queued() else { break };
+            let node = self.nodes.get_mut(&c.server);
+            let accepts_work = node.as_ref().is_some_and(|n| n.accepts_work());
+            let listed = node.as_ref().is_some_and(|n| n.addresses.address(c.link.address).is_some());
+            // While the attempt waited, its node may have begun to drain or changed its address, or its deadline may
+            // have passed.
+            if !accepts_work || !listed || queued.deadline <= now {
+                let status = if accepts_work { Status::ConnectFailed } else { Status::NotSent };
+                self.events.push_back(NodeEvent::Ended(queued.id, queued.attempt, status, Reply::default()));
                 continue;
             }
-            if !c.pipe.has_batch() {
-                // A connection that has just come up has not been idle.
-                c.rested = if c.used && c.pipe.in_flight() == 0 { now.saturating_sub(c.moved) } else { 0 };
+            if !c.pipeline.has_batch() {
+                // A newly established connection has not been idle.
+                let idle = c.has_replied && c.pipeline.in_flight() == 0;
+                c.idle_before_write = if idle { now.saturating_sub(c.last_active) } else { 0 };
             }
-            let before = c.out.len();
-            if std::mem::take(&mut c.greets) {
-                // Together with the first request, so that it costs no round trip.
-                c.out.extend(self.hello.iter().flatten());
-                c.greeting = Some(Greeting::default());
+            let start = c.write_buffer.len();
+            if std::mem::take(&mut c.sends_hello) {
+                // Sent together with the first command, so that it costs no round trip.
+                c.write_buffer.extend(self.hello.iter().flatten());
+                c.hello_reply = Some(Greeting::default());
             }
-            job.query.encode(((job.deadline - now) / MS).max(1), &mut c.out);
-            let long = pipeline::Command::kind(&job).large_value;
-            if job.query.write && !long {
-                c.out.extend_from_slice(job.query.value());
-                c.out.extend_from_slice(b"\r\n");
+            let remaining_ms = ((queued.deadline - now) / MS).max(1);
+            queued.query.encode(remaining_ms, &mut c.write_buffer);
+            let is_long = pipeline::Command::kind(&queued).large_value;
+            if queued.query.write && !is_long {
+                c.write_buffer.extend_from_slice(queued.query.value());
+                c.write_buffer.extend_from_slice(LINE_END);
             }
-            let rest = if long { job.query.value().len() + 2 } else { 0 };
-            c.long = long.then(|| job.query.clone());
-            c.pipe.add_to_batch(job, c.out.len() - before + rest);
+            let uncopied_bytes = if is_long { queued.query.value().len() + LINE_END.len() } else { 0 };
+            c.long_value = is_long.then(|| queued.query.clone());
+            c.pipeline.add_to_batch(queued, c.write_buffer.len() - start + uncopied_bytes);
             if let Some(node) = node {
-                node.sent += 1;
-                node.sent_leaving += u64::from(node.leaving.is_some());
+                node.attempts_sent += 1;
+                node.attempts_sent_leaving += u64::from(node.leaving_since.is_some());
             }
         }
-        c.pipe.has_batch()
+        c.pipeline.has_batch()
     }
 }
