--- a/crates/addresses/src/lib.rs
+++ b/crates/addresses/src/lib.rs
@@ -1,10 +1,11 @@
-//! The addresses of a cache box: in which order they are tried, how many at once, and which of them are well.
+//! The addresses of a cache box: the order in which they are tried, how many at once, and the health of each.
 //!
-//! After RFC 8305 ("Happy Eyeballs Version 2"): families take turns (section 4), connection attempts are staggered
-//! (section 5), the first that comes up wins. Otherwise than there, the delay between two attempts is what handshakes
-//! with the box were measured to take; no more than two attempts run at once; and an address that takes connections
-//! and then says nothing is a bad one, too. What is learned comes from requests that are sent anyway. No I/O and no
-//! clock: times are nanoseconds on any one clock, chance comes from a seed.
+//! Follows RFC 8305 ("Happy Eyeballs Version 2"): families alternate (section 4), connection attempts are staggered
+//! (section 5), and the first that comes up wins. It differs from the RFC in three ways: the delay between two attempts
+//! is the measured time of handshakes with the box; no more than two attempts are in progress at once; and an address
+//! that accepts connections but does not answer is ejected, too. Health is learned from ordinary requests, not from
+//! separate checks. The crate has no I/O and no clock: times are nanoseconds on any single clock, and random numbers
+//! come from a seed.
 
 mod race;
 mod table;
@@ -18,12 +19,12 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// Nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Addresses that a box may have; more are dropped.
+/// The most addresses that a box may have; more are dropped.
 pub const MAX_ADDRESSES: usize = 8;
-/// The longest text of an address.
+/// The longest text of an address, in bytes.
 pub const MAX_ADDRESS_BYTES: usize = 256;
 /// The longest path of a Unix-domain socket: `sun_path` has 108 bytes, the last of them zero (unix(7)).
 pub const MAX_UNIX_PATH_BYTES: usize = 107;
@@ -37,7 +38,7 @@
     Unix(PathBuf),
 }
 
-/// Kinds of addresses that tend to fail together.
+/// The address family. Addresses of one family tend to fail together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Family {
     /// IPv6.
@@ -48,16 +49,16 @@
     Unix,
 }
 
-/// Why a text is no address.
+/// Why a text is not a valid address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParseAddressError {
-    /// It is longer than [`MAX_ADDRESS_BYTES`].
+    /// It is longer than [`MAX_ADDRESS_BYTES`]; the length in bytes.
     TooLong(usize),
     /// The path is not absolute, has a zero byte, or is longer than [`MAX_UNIX_PATH_BYTES`].
     InvalidPath(String),
-    /// It is neither an IP address with a port nor `unix:` and a path. Names are not looked up.
+    /// It is neither an IP address with a port nor `unix:` and a path. Host names are not resolved.
     InvalidFormat(String),
-    /// Nobody can be connected to there: port 0, or an address of no host.
+    /// No connection can be made to it: port 0, or an unspecified or multicast address.
     NotConnectable(SocketAddr),
 }
 
@@ -65,15 +66,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ParseAddressError::TooLong(length) => {
-                write!(f, "an address of {length} bytes; {MAX_ADDRESS_BYTES} are the most")
+                write!(f, "address has {length} bytes, at most {MAX_ADDRESS_BYTES} are allowed")
             }
             ParseAddressError::InvalidPath(path) => {
-                write!(f, "{path:?} is no absolute path of at most {MAX_UNIX_PATH_BYTES} bytes")
+                write!(f, "{path:?} is not an absolute path of at most {MAX_UNIX_PATH_BYTES} bytes")
             }
             ParseAddressError::InvalidFormat(text) => {
                 write!(f, "{text:?} is neither ADDRESS:PORT nor unix:/PATH")
             }
-            ParseAddressError::NotConnectable(address) => write!(f, "nobody can be reached at {address}"),
+            ParseAddressError::NotConnectable(address) => {
+                write!(f, "{address} cannot be connected to: the port is 0, or the address names no host")
+            }
         }
     }
 }
@@ -88,8 +91,8 @@
             return Err(ParseAddressError::TooLong(text.len()));
         }
         if let Some(path) = text.strip_prefix("unix:") {
-            let good = path.starts_with('/') && path.len() <= MAX_UNIX_PATH_BYTES && !path.contains('\0');
-            return if good {
+            let valid = path.starts_with('/') && path.len() <= MAX_UNIX_PATH_BYTES && !path.contains('\0');
+            return if valid {
                 Ok(Address::Unix(path.into()))
             } else {
                 Err(ParseAddressError::InvalidPath(path.into()))
@@ -113,7 +116,7 @@
 }
 
 impl Address {
-    /// Its family. An IPv4 address in IPv6's form goes the way of IPv4.
+    /// The address family. An IPv4-mapped IPv6 address counts as IPv4, over which it is reached.
     pub fn family(&self) -> Family {
         match self {
             Address::Tcp(SocketAddr::V4(_)) => Family::V4,
@@ -124,26 +127,26 @@
     }
 }
 
-/// Reads a list of addresses in its order; what can't be used is dropped, and named.
+/// Parses a list of addresses in its order. Returns the usable ones, and a message for each text that was dropped.
 pub fn parse_list<'a>(texts: impl IntoIterator<Item = &'a str>) -> (Vec<Address>, Vec<String>) {
-    let (mut all, mut faults, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
-    let mut more = 0;
+    let (mut all, mut errors, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
+    let mut excess = 0;
     for text in texts {
-        if all.len() + faults.len() >= 2 * MAX_ADDRESSES {
-            more += 1;
+        if all.len() + errors.len() >= 2 * MAX_ADDRESSES {
+            excess += 1;
             continue;
         }
         match text.parse::<Address>() {
-            Err(e) => faults.push(e.to_string()),
+            Err(e) => errors.push(e.to_string()),
             Ok(address) if !seen.insert(address.clone()) => {
-                faults.push(format!("{address} stands there twice"))
+                errors.push(format!("{address} is listed twice"));
             }
-            Ok(_) if all.len() >= MAX_ADDRESSES => more += 1,
+            Ok(_) if all.len() >= MAX_ADDRESSES => excess += 1,
             Ok(address) => all.push(address),
         }
     }
-    if more > 0 {
-        faults.push(format!("{more} more than the {MAX_ADDRESSES} that a box may have"));
+    if excess > 0 {
+        errors.push(format!("{excess} more than the {MAX_ADDRESSES} addresses that a box may have"));
     }
-    (all, faults)
+    (all, errors)
 }
--- a/crates/addresses/src/race.rs
+++ b/crates/addresses/src/race.rs
@@ -1,58 +1,58 @@
-//! Connection attempts to one box that run against each other. Only connections are raced, never a request: that
-//! waits for the one that comes up.
+//! A connection race (Happy Eyeballs): concurrent connection attempts to the addresses of one box. Only connections are
+//! raced, never a request, which waits for the connection that comes up first.
 
 use crate::AddressId;
 use std::collections::VecDeque;
 
-/// Attempts that run at once. Each that comes up costs the box a handshake, also the one that loses.
+/// Connection attempts in progress at once. Each that comes up costs the box a handshake, also the one that loses.
 pub const MAX_CONCURRENT_ATTEMPTS: usize = 2;
 
-/// The attempts for one connection.
+/// The attempts to open one connection.
 #[derive(Debug, Default)]
 pub struct ConnectionRace {
-    waiting: VecDeque<AddressId>,
-    running: Vec<AddressId>,
+    untried: VecDeque<AddressId>,
+    in_progress: Vec<AddressId>,
 }
 
 impl ConnectionRace {
-    /// Addresses in the order in which they are to be tried.
+    /// A race over these addresses, to be tried in this order.
     pub fn new(order: impl IntoIterator<Item = AddressId>) -> Self {
-        ConnectionRace { waiting: order.into_iter().collect(), running: Vec::new() }
+        ConnectionRace { untried: order.into_iter().collect(), in_progress: Vec::new() }
     }
 
-    /// Begins the next attempt: at the start, when one failed, and when the delay is over. The address to connect
-    /// to; nothing if none is left, or as many run as may.
+    /// Starts the next attempt: at the beginning, when one failed, and when the attempt delay is over. Returns the
+    /// address to connect to; `None` if none is left, or the maximum number of attempts is in progress.
     pub fn start_next(&mut self) -> Option<AddressId> {
-        if self.running.len() >= MAX_CONCURRENT_ATTEMPTS {
+        if self.in_progress.len() >= MAX_CONCURRENT_ATTEMPTS {
             return None;
         }
-        let id = self.waiting.pop_front()?;
-        self.running.push(id);
+        let id = self.untried.pop_front()?;
+        self.in_progress.push(id);
         Some(id)
     }
 
-    /// Is there an address that could be tried beside those that are?
+    /// Whether another address could be tried beside those in progress.
     pub fn can_start_another(&self) -> bool {
-        self.running.len() < MAX_CONCURRENT_ATTEMPTS && !self.waiting.is_empty()
+        self.in_progress.len() < MAX_CONCURRENT_ATTEMPTS && !self.untried.is_empty()
     }
 
-    /// Those that run.
+    /// The addresses to which an attempt is in progress.
     pub fn in_progress(&self) -> &[AddressId] {
-        &self.running
+        &self.in_progress
     }
 
-    /// An attempt failed. True if the race goes on: another runs, or can be begun.
+    /// An attempt failed. Returns true if the race goes on: another attempt is in progress, or can be started.
     pub fn attempt_failed(&mut self, id: AddressId) -> bool {
-        self.running.retain(|r| *r != id);
-        !self.running.is_empty() || !self.waiting.is_empty()
+        self.in_progress.retain(|other| *other != id);
+        !self.in_progress.is_empty() || !self.untried.is_empty()
     }
 
-    /// An attempt came up: the race is over, and the others are to be closed at once. They stand for nothing that
-    /// the winner does not do as well, and count at the box.
+    /// An attempt succeeded, which ends the race. Returns the other attempts, which are to be closed at once: the winner
+    /// replaces them, and they count against the box's connections.
     pub fn attempt_succeeded(&mut self, id: AddressId) -> Vec<AddressId> {
-        self.waiting.clear();
-        let mut losers = std::mem::take(&mut self.running);
-        losers.retain(|r| *r != id);
+        self.untried.clear();
+        let mut losers = std::mem::take(&mut self.in_progress);
+        losers.retain(|other| *other != id);
         losers
     }
 }
--- a/crates/addresses/src/table.rs
+++ b/crates/addresses/src/table.rs
@@ -1,298 +1,300 @@
-//! What is known of a box's addresses.
+//! The address table of a box: its listed addresses, and the health of each.
 
 use crate::{Address, Family, Nanos, MAX_ADDRESSES};
 
 const MS: Nanos = 1_000_000;
-/// After a failed connection an address is left alone for so long, doubled with each further one in a row.
-const REFUSED: Nanos = 250 * MS;
-/// After a request that it left unanswered, for so long.
-const SILENT: Nanos = 1_000 * MS;
-/// No longer than this.
-const LONGEST: Nanos = 60_000 * MS;
-/// Of a time to wait, so much is by chance: many proxies must not come back in the same moment.
-const JITTER: f64 = 0.25;
-/// A trial that nothing was heard of is over after this.
-const TRIAL: Nanos = 5_000 * MS;
-/// A request that was called off says that an address is silent if it waited for this, at the least, and for longer
-/// than answers of this box take.
-const WAITED: Nanos = 50 * MS;
-/// So many in a row that waited for as long as answers take say the same.
-const ROW: u32 = 3;
-/// What is known of an address that left the list is kept for so long: lists flap, too.
+/// How long a failed connection ejects an address; doubled with each further consecutive failure.
+const REFUSED_EJECTION: Nanos = 250 * MS;
+/// The same for a request that was left unanswered.
+const SILENT_EJECTION: Nanos = 1_000 * MS;
+/// The longest ejection.
+const MAX_EJECTION: Nanos = 60_000 * MS;
+/// Ejections vary randomly by this part, so that proxies do not return to an address at the same moment.
+const EJECTION_JITTER: f64 = 0.25;
+/// A half-open probe without an outcome ends after this time.
+const PROBE_TIMEOUT: Nanos = 5_000 * MS;
+/// A cancelled request shows that an address is silent if it waited at least this long, and longer than answers of this
+/// box take.
+const MIN_CANCELLED_WAIT: Nanos = 50 * MS;
+/// This many consecutive cancelled requests that each waited for the mean time of an answer show the same.
+const CANCELLED_IN_A_ROW: u32 = 3;
+/// How long the record of an address that left the list is kept, since lists flap.
 pub const REMOVED_RETENTION: Nanos = 120_000 * MS;
-/// The delay before the next address is tried beside one that is not up: RFC 8305's, while nothing was measured, ...
-const UNKNOWN: Nanos = 250 * MS;
-/// ... and its bounds.
-const DELAY: [Nanos; 2] = [10 * MS, 250 * MS];
+/// The delay before the next connection attempt to an address without a measured handshake: RFC 8305's.
+const DEFAULT_ATTEMPT_DELAY: Nanos = 250 * MS;
+/// The shortest and the longest delay before the next connection attempt.
+const ATTEMPT_DELAY_BOUNDS: [Nanos; 2] = [10 * MS, 250 * MS];
 
-/// An address of a book, for as long as the book stands.
+/// Identifies an address within its table, for the lifetime of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AddressId(u32);
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     id: AddressId,
     address: Address,
-    /// Handshakes took so long, smoothed, and differed by so much.
+    /// The smoothed mean and deviation of the duration of handshakes.
     handshake: Option<(Nanos, Nanos)>,
-    /// Faults in a row, and whether the last of them was a connection that failed.
-    faults: u32,
+    consecutive_failures: u32,
+    /// The last failure was a connection that did not come up.
     refused: bool,
-    /// It is left alone until then.
-    until: Nanos,
-    /// A trial is out since then.
-    trial: Option<Nanos>,
-    /// Requests in a row that were called off before it answered.
-    unanswered: u32,
-    /// When it answered last.
-    answered: Option<Nanos>,
-    /// When it left the list; nothing for one that is in it.
-    left: Option<Nanos>,
+    ejected_until: Nanos,
+    /// When the half-open probe in progress began.
+    probe_began: Option<Nanos>,
+    /// Consecutive requests that were cancelled before an answer came.
+    cancelled: u32,
+    last_answer: Option<Nanos>,
+    /// When it left the list; `None` while it is listed.
+    removed_at: Option<Nanos>,
 }
 
 /// The addresses of one box.
 #[derive(Clone, Debug)]
 pub struct AddressTable {
-    known: Vec<Known>,
-    next: u32,
+    entries: Vec<Entry>,
+    last_id: u32,
     /// The family that answered last.
-    family: Option<Family>,
-    /// The box's answers took so long, smoothed, and differed by so much.
-    usual: Option<(Nanos, Nanos)>,
+    preferred_family: Option<Family>,
+    /// The smoothed mean and deviation of the time that the box takes to answer.
+    answer_time: Option<(Nanos, Nanos)>,
     rng: fastrand::Rng,
 }
 
 impl AddressTable {
-    /// No addresses yet.
+    /// An empty table.
     pub fn new(seed: u64) -> Self {
         AddressTable {
-            known: Vec::new(),
-            next: 0,
-            family: None,
-            usual: None,
+            entries: Vec::new(),
+            last_id: 0,
+            preferred_family: None,
+            answer_time: None,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Takes over a list, in its order. What was learned of an address stays, also while it is gone for a moment.
-    /// Tells whether anything changed but the order.
+    /// Adopts a list in its order. The health of an address is kept, also through a short absence from the list.
+    /// Returns whether anything but the order changed.
     pub fn update(&mut self, list: &[Address], now: Nanos) -> bool {
         let list = &list[..list.len().min(MAX_ADDRESSES)];
-        let same = self.len() == list.len() && list.iter().all(|a| self.live().any(|k| k.address == *a));
-        let mut old = std::mem::take(&mut self.known);
+        let same = self.len() == list.len() && list.iter().all(|a| self.listed().any(|e| e.address == *a));
+        let mut old = std::mem::take(&mut self.entries);
         for address in list {
-            let at = old.iter().position(|k| k.address == *address);
-            let known = match at {
-                Some(at) => Known { left: None, ..old.swap_remove(at) },
+            let at = old.iter().position(|e| e.address == *address);
+            let entry = match at {
+                Some(at) => Entry { removed_at: None, ..old.swap_remove(at) },
                 None => {
-                    self.next += 1;
-                    Known {
-                        id: AddressId(self.next),
+                    self.last_id += 1;
+                    Entry {
+                        id: AddressId(self.last_id),
                         address: address.clone(),
                         handshake: None,
-                        faults: 0,
+                        consecutive_failures: 0,
                         refused: false,
-                        until: 0,
-                        trial: None,
-                        unanswered: 0,
-                        answered: None,
-                        left: None,
+                        ejected_until: 0,
+                        probe_began: None,
+                        cancelled: 0,
+                        last_answer: None,
+                        removed_at: None,
                     }
                 }
             };
-            self.known.push(known);
+            self.entries.push(entry);
         }
-        // The last to leave are remembered, as many as a box may have.
-        for known in &mut old {
-            known.left.get_or_insert(now);
+        // Of the removed addresses the latest are kept, up to the number of addresses that a box may have.
+        for entry in &mut old {
+            entry.removed_at.get_or_insert(now);
         }
-        old.retain(|k| k.left.is_some_and(|at| now < at + REMOVED_RETENTION));
-        old.sort_by_key(|k| std::cmp::Reverse(k.left));
+        old.retain(|e| e.removed_at.is_some_and(|at| now < at + REMOVED_RETENTION));
+        old.sort_by_key(|e| std::cmp::Reverse(e.removed_at));
         old.truncate(MAX_ADDRESSES);
-        self.known.extend(old);
+        self.entries.extend(old);
         !same
     }
 
-    fn live(&self) -> impl Iterator<Item = &Known> {
-        self.known.iter().filter(|k| k.left.is_none())
+    fn listed(&self) -> impl Iterator<Item = &Entry> {
+        self.entries.iter().filter(|e| e.removed_at.is_none())
     }
 
-    fn get(&self, id: AddressId) -> Option<&Known> {
-        self.known.iter().find(|k| k.id == id)
+    fn get(&self, id: AddressId) -> Option<&Entry> {
+        self.entries.iter().find(|e| e.id == id)
     }
 
-    fn get_mut(&mut self, id: AddressId) -> Option<&mut Known> {
-        self.known.iter_mut().find(|k| k.id == id)
+    fn get_mut(&mut self, id: AddressId) -> Option<&mut Entry> {
+        self.entries.iter_mut().find(|e| e.id == id)
     }
 
-    /// How many addresses there are.
+    /// The number of listed addresses.
     pub fn len(&self) -> usize {
-        self.live().count()
+        self.listed().count()
     }
 
-    /// There is none.
+    /// Whether no address is listed.
     pub fn is_empty(&self) -> bool {
-        self.live().next().is_none()
+        self.listed().next().is_none()
     }
 
-    /// How many are kept in mind, those that left counted; at most twice [`MAX_ADDRESSES`].
+    /// The number of addresses with a record, removed ones included; at most twice [`MAX_ADDRESSES`].
     pub fn retained_len(&self) -> usize {
-        self.known.len()
+        self.entries.len()
     }
 
-    /// All addresses, in the list's order.
+    /// The listed addresses, in the list's order.
     pub fn addresses(&self) -> impl Iterator<Item = &Address> {
-        self.live().map(|k| &k.address)
+        self.listed().map(|e| &e.address)
     }
 
-    /// An address in the list.
+    /// The address of this id, while it is listed.
     pub fn address(&self, id: AddressId) -> Option<&Address> {
-        self.get(id).filter(|k| k.left.is_none()).map(|k| &k.address)
+        self.get(id).filter(|e| e.removed_at.is_none()).map(|e| &e.address)
     }
 
-    /// It is in the list, and may carry something new: no fault is known of it, or there is no other.
+    /// Whether new requests may use the address: it is listed, and is either healthy or the only one.
     pub fn usable(&self, id: AddressId) -> bool {
         match self.get(id) {
-            Some(k) if k.left.is_none() => k.faults == 0 || self.len() == 1,
+            Some(e) if e.removed_at.is_none() => e.consecutive_failures == 0 || self.len() == 1,
             _ => false,
         }
     }
 
-    /// The order in which to connect now, for a read or for a write.
+    /// The order in which to try addresses for a new connection, for a read or for a write.
     ///
-    /// Those that are well come first, families in turn, beginning with the one that answered last. One that was
-    /// bad and has waited its time is tried before them by a read, one at a time, and never by a write while any is
-    /// well. The rest is not tried. Where all are bad there is none until one has waited, so that a dead box costs
-    /// few connections; but silence alone never takes the last address away, since a box that is only slow is silent
-    /// as well. A single address is always tried: whether to leave its box alone is not decided here.
+    /// Healthy addresses come first, families alternating, beginning with the family that answered last. A read puts
+    /// one address whose ejection has expired before them as a half-open probe, one probe at a time; a write does so
+    /// only if no address is healthy. Other ejected addresses are left out. Where all are ejected the order is empty
+    /// until an ejection expires, so that a dead box costs few connections; but silence alone never removes the last
+    /// address, since a slow box is silent as well. A single address is always tried: whether to avoid its box is
+    /// decided elsewhere.
     pub fn connection_order(&mut self, now: Nanos, write: bool) -> Vec<AddressId> {
         if self.len() == 1 {
-            return self.live().map(|k| k.id).collect();
+            return self.listed().map(|e| e.id).collect();
         }
-        for known in &mut self.known {
-            known.trial = known.trial.filter(|at| now < at + TRIAL);
+        for entry in &mut self.entries {
+            entry.probe_began = entry.probe_began.filter(|at| now < at + PROBE_TIMEOUT);
         }
-        let mut order = self.interleaved();
-        let waited = |k: &&Known| k.faults > 0 && k.until <= now && k.trial.is_none();
-        let trial = if write && !order.is_empty() || self.live().any(|k| k.trial.is_some()) {
+        let mut order = self.healthy_by_family();
+        let may_be_probed =
+            |e: &&Entry| e.consecutive_failures > 0 && e.ejected_until <= now && e.probe_began.is_none();
+        let probe = if write && !order.is_empty() || self.listed().any(|e| e.probe_began.is_some()) {
             None
         } else {
-            self.live().filter(waited).min_by_key(|k| k.faults).map(|k| k.id)
+            self.listed().filter(may_be_probed).min_by_key(|e| e.consecutive_failures).map(|e| e.id)
         };
-        if let Some(known) = trial.and_then(|id| self.get_mut(id)) {
-            known.trial = Some(now);
-            order.insert(0, known.id);
+        if let Some(entry) = probe.and_then(|id| self.get_mut(id)) {
+            entry.probe_began = Some(now);
+            order.insert(0, entry.id);
         }
         if order.is_empty() {
-            let silent = self.live().filter(|k| !k.refused).min_by_key(|k| k.until);
-            order.extend(silent.map(|k| k.id));
+            let silent = self.listed().filter(|e| !e.refused).min_by_key(|e| e.ejected_until);
+            order.extend(silent.map(|e| e.id));
         }
         order
     }
 
-    /// Those without a fault, families in turn.
-    fn interleaved(&self) -> Vec<AddressId> {
-        let well: Vec<&Known> = self.live().filter(|k| k.faults == 0).collect();
+    /// The addresses without a failure, families alternating.
+    fn healthy_by_family(&self) -> Vec<AddressId> {
+        let healthy: Vec<&Entry> = self.listed().filter(|e| e.consecutive_failures == 0).collect();
         let mut families: Vec<Family> = Vec::new();
-        let listed = well.iter().map(|k| k.address.family());
-        for family in
-            self.family.into_iter().filter(|f| listed.clone().any(|l| l == *f)).chain(listed.clone())
-        {
+        let listed = healthy.iter().map(|e| e.address.family());
+        let preferred = self.preferred_family.into_iter().filter(|f| listed.clone().any(|l| l == *f));
+        for family in preferred.chain(listed.clone()) {
             if !families.contains(&family) {
                 families.push(family);
             }
         }
-        let mut rows: Vec<_> = families
+        let mut by_family: Vec<_> = families
             .into_iter()
-            .map(|f| well.iter().filter(move |k| k.address.family() == f).map(|k| k.id))
+            .map(|f| healthy.iter().filter(move |e| e.address.family() == f).map(|e| e.id))
             .collect();
-        let mut order = Vec::with_capacity(well.len());
-        while order.len() < well.len() {
-            order.extend(rows.iter_mut().filter_map(Iterator::next));
+        let mut order = Vec::with_capacity(healthy.len());
+        while order.len() < healthy.len() {
+            order.extend(by_family.iter_mut().filter_map(Iterator::next));
         }
         order
     }
 
-    /// How long to wait for an address to come up before another is tried beside it, where a request has so much
-    /// time left: as long as its handshakes take, and no more than a part of that time.
-    pub fn attempt_delay(&self, id: AddressId, left: Nanos) -> Nanos {
-        let usual = match self.get(id).and_then(|k| k.handshake) {
-            Some((mean, off)) => mean + 4 * off,
-            None => UNKNOWN,
+    /// How long to wait for a connection to this address before the next address is tried beside it: the time that its
+    /// handshakes take, limited to a part of the request's remaining time.
+    pub fn attempt_delay(&self, id: AddressId, remaining: Nanos) -> Nanos {
+        let usual = match self.get(id).and_then(|e| e.handshake) {
+            Some((mean, deviation)) => mean + 4 * deviation,
+            None => DEFAULT_ATTEMPT_DELAY,
         };
-        usual.clamp(DELAY[0], DELAY[1]).min(left / (self.len() as Nanos + 1)).max(MS)
+        let [shortest, longest] = ATTEMPT_DELAY_BOUNDS;
+        usual.clamp(shortest, longest).min(remaining / (self.len() as Nanos + 1)).max(MS)
     }
 
-    // ---- what happened ----
+    // ---- outcomes of connections and requests ----
 
-    /// A connection came up after so long. That says nothing of whether anybody will answer on it.
-    pub fn connected(&mut self, id: AddressId, took: Nanos) {
-        let Some(known) = self.get_mut(id) else { return };
-        known.handshake = Some(smooth(known.handshake, took));
+    /// A connection came up. That does not show that anything will answer on it.
+    pub fn connected(&mut self, id: AddressId, handshake: Nanos) {
+        let Some(entry) = self.get_mut(id) else { return };
+        entry.handshake = Some(smooth(entry.handshake, handshake));
     }
 
-    /// It answered, after so long: all is well with it.
-    pub fn answer_received(&mut self, id: AddressId, took: Nanos, now: Nanos) {
-        self.usual = Some(smooth(self.usual, took));
-        let Some(known) = self.get_mut(id) else { return };
-        (known.faults, known.refused, known.until, known.trial) = (0, false, 0, None);
-        known.unanswered = 0;
-        known.answered = Some(now);
-        if known.left.is_none() {
-            self.family = Some(known.address.family());
+    /// The address answered a request, which makes it healthy.
+    pub fn answer_received(&mut self, id: AddressId, latency: Nanos, now: Nanos) {
+        self.answer_time = Some(smooth(self.answer_time, latency));
+        let Some(entry) = self.get_mut(id) else { return };
+        entry.consecutive_failures = 0;
+        entry.refused = false;
+        entry.ejected_until = 0;
+        entry.probe_began = None;
+        entry.cancelled = 0;
+        entry.last_answer = Some(now);
+        if entry.removed_at.is_none() {
+            self.preferred_family = Some(entry.address.family());
         }
     }
 
-    /// A connection to it did not come up, or ended before anything was answered on it.
+    /// A connection did not come up, or ended before its first answer.
     pub fn connection_failed(&mut self, id: AddressId, now: Nanos) {
-        self.fault(id, now, true);
+        self.record_failure(id, now, true);
     }
 
-    /// A request that was sent to it at `sent` has run out of time, or was called off. True if that is the address's
-    /// fault as far as can be seen: nothing was answered over it since, and there was time enough for an answer.
-    /// Connections to it are better not used then.
-    pub fn request_unanswered(&mut self, id: AddressId, sent: Nanos, called_off: bool, now: Nanos) -> bool {
-        let (waited, usual) = (now.saturating_sub(sent), self.usual);
-        let longer = |much: Nanos, least: Nanos| {
-            usual.is_some_and(|(mean, off)| waited >= (mean + much * off).max(least))
+    /// A request that was sent at `sent_at` timed out, or was cancelled. Returns true if the address appears to be at
+    /// fault, and its connections are better not used: it has answered nothing since, and had enough time to answer.
+    pub fn request_unanswered(&mut self, id: AddressId, sent_at: Nanos, cancelled: bool, now: Nanos) -> bool {
+        let (waited, answer_time) = (now.saturating_sub(sent_at), self.answer_time);
+        let exceeds = |deviations: Nanos, least: Nanos| {
+            answer_time.is_some_and(|(mean, deviation)| waited >= (mean + deviations * deviation).max(least))
         };
-        if called_off && !longer(8, WAITED) {
-            // One that waited for less says little, and several in a row say the same.
-            let Some(known) = self.get_mut(id).filter(|_| longer(1, 0)) else { return false };
-            known.unanswered += 1;
-            if known.unanswered < ROW {
+        if cancelled && !exceeds(8, MIN_CANCELLED_WAIT) {
+            // One short wait shows little; several in a row show that the address is silent.
+            let Some(entry) = self.get_mut(id).filter(|_| exceeds(1, 0)) else { return false };
+            entry.cancelled += 1;
+            if entry.cancelled < CANCELLED_IN_A_ROW {
                 return false;
             }
         }
-        let answered = self.get(id).and_then(|k| k.answered);
-        // A single address is its box: whether that is well is not decided here.
-        if self.get(id).is_none() || self.len() <= 1 || answered.is_some_and(|at| at >= sent) {
+        let last_answer = self.get(id).and_then(|e| e.last_answer);
+        // A single address is its box, whose health is judged elsewhere.
+        if self.get(id).is_none() || self.len() <= 1 || last_answer.is_some_and(|at| at >= sent_at) {
             return false;
         }
-        self.fault(id, now, false);
+        self.record_failure(id, now, false);
         true
     }
 
-    fn fault(&mut self, id: AddressId, now: Nanos, refused: bool) {
-        let jitter = 1.0 - JITTER + 2.0 * JITTER * self.rng.f64();
-        let Some(known) = self.get_mut(id) else { return };
-        // Several requests that fail in one time of waiting are one fault.
-        if known.faults > 0 && now < known.until && known.trial.is_none() {
+    fn record_failure(&mut self, id: AddressId, now: Nanos, refused: bool) {
+        let jitter = 1.0 - EJECTION_JITTER + 2.0 * EJECTION_JITTER * self.rng.f64();
+        let Some(entry) = self.get_mut(id) else { return };
+        // Several requests that fail within one ejection count as one failure.
+        if entry.consecutive_failures > 0 && now < entry.ejected_until && entry.probe_began.is_none() {
             return;
         }
-        let base = if refused { REFUSED } else { SILENT };
-        let wait = base.saturating_mul(1 << known.faults.min(10)).min(LONGEST);
-        known.faults += 1;
-        known.refused = refused;
-        known.trial = None;
-        known.until = now + (wait as f64 * jitter) as Nanos;
+        let base = if refused { REFUSED_EJECTION } else { SILENT_EJECTION };
+        let ejection = base.saturating_mul(1 << entry.consecutive_failures.min(10)).min(MAX_EJECTION);
+        entry.consecutive_failures += 1;
+        entry.refused = refused;
+        entry.probe_began = None;
+        entry.ejected_until = now + (ejection as f64 * jitter) as Nanos;
     }
 }
 
-/// As TCP smooths its round trips (RFC 6298, section 2): the mean, and how much it differs.
-fn smooth(known: Option<(Nanos, Nanos)>, took: Nanos) -> (Nanos, Nanos) {
-    match known {
-        None => (took, took / 2),
-        Some((mean, off)) => ((7 * mean + took) / 8, (3 * off + mean.abs_diff(took)) / 4),
+/// The smoothed mean and deviation, as TCP computes them for round trips (RFC 6298, section 2).
+fn smooth(smoothed: Option<(Nanos, Nanos)>, sample: Nanos) -> (Nanos, Nanos) {
+    match smoothed {
+        None => (sample, sample / 2),
+        Some((mean, deviation)) => ((7 * mean + sample) / 8, (3 * deviation + mean.abs_diff(sample)) / 4),
     }
 }
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -1,58 +1,59 @@
-//! When a proxy calls discovery, so that it has heard in time what counts as told to it.
+//! Schedules the calls of a proxy to discovery, so that every update is received before it takes effect.
 //!
-//! A box that is announced as leaving may get nothing new once its announcement counts as told and the grace of the
-//! settings is over, whether or not the news arrived. So there is a latest moment by which this proxy must have heard
-//! what it may have missed, and all calls are planned backwards from it ([`PollScheduler`]). No sockets, no clock: time is
-//! handed in, chance comes from a seed. Times are nanoseconds.
+//! A box that is announced as leaving may get no new requests once the announcement counts as notified and the drain
+//! grace of the settings is over, whether or not the update arrived. So there is a latest moment by which this proxy
+//! must have received what it may have missed, and all calls are scheduled backwards from it ([`PollScheduler`]). The
+//! crate has no sockets and no clock: the caller passes the time in, and random numbers come from a seed. Times are
+//! nanoseconds.
 //!
-//! What counts as told when, by the operators' pages:
+//! When a missed update counts as notified, by the operators' specification:
 //!
-//! | lists are | state | what is missed counts as told |
+//! | lists are | state | a missed update counts as notified |
 //! | --- | --- | --- |
-//! | either | a call fell silent | 6 s later, and 2 s after its wait if that is later |
-//! | either | discovery has moved (SIGHUP) | 4 s later |
-//! | asked for | no watch is open | once the settings' time for asking has passed since the last call, four times that if it failed |
-//! | pushed | no watch is open, or the process has just begun | at once: the agent on this machine has it |
+//! | either | a call stopped answering | 6 s after it began, or 2 s after its wait if that is later |
+//! | either | discovery has moved (SIGHUP) | 4 s after the signal |
+//! | polled | no watch is open | once the settings' maximum poll interval has passed since the last call, four times that if the call failed |
+//! | pushed | no watch is open, or the process has just started | at once: the agent on this machine has it |
 
 mod subscription;
 
 use calicosaddle::api::Settings;
 pub use subscription::Subscription;
 
-/// Time, or a span of it, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// What a call misses that has fallen silent counts as told so long after it did, ...
-const TOLD: Nanos = 6 * SECOND;
-/// ... or so long after its wait was over, if that is later.
-const TOLD_AFTER_WAIT: Nanos = 2 * SECOND;
-/// What a discovery that has moved has to tell counts as told so long after SIGHUP.
-const TOLD_AFTER_MOVE: Nanos = 4 * SECOND;
-/// How long a call of a watch waits for news: where one discovery answers all proxies a long wait spares it calls, ...
-const WAIT: Nanos = 10 * SECOND;
-/// ... and where an agent on this machine does, whose answers cost nothing, a short one finds silence out sooner.
-const WAIT_PUSHED: Nanos = 2 * SECOND;
-/// A call whose answer has not come so long after its wait has fallen silent.
-const SILENT: Nanos = 300 * MS;
-/// A call that does not wait may stand for 2 s in the queue of a discovery that all proxies call.
-const QUEUED: Nanos = 2_200 * MS;
-/// Calls begin no sooner after one another than this where one discovery answers all proxies.
-const SHORTEST: Nanos = 200 * MS;
-/// Calls in a second that discovery is planned to take from all proxies together, where most of them start at once.
-const CALLS: u64 = 50;
-
-/// What the settings say.
+/// What a call that does not answer has missed counts as notified this long after the call began, ...
+const NOTIFIED_AFTER_SILENT_CALL: Nanos = 6 * SECOND;
+/// ... or this long after the end of its wait, if that is later.
+const NOTIFIED_AFTER_WAIT: Nanos = 2 * SECOND;
+/// The updates of a discovery that has moved count as notified this long after SIGHUP.
+const NOTIFIED_AFTER_MOVE: Nanos = 4 * SECOND;
+/// How long a watch waits for an update where one discovery serves all proxies: a long wait saves it calls.
+const WATCH_WAIT: Nanos = 10 * SECOND;
+/// The same where an agent on this machine answers: calls to it cost nothing, and a short wait detects silence sooner.
+const WATCH_WAIT_PUSHED: Nanos = 2 * SECOND;
+/// A watch without an answer this long after its wait counts as silent.
+const WATCH_GRACE: Nanos = 300 * MS;
+/// The timeout of a call that does not wait: it may be queued for 2 s at a discovery that all proxies call.
+const QUEUED_CALL_TIMEOUT: Nanos = 2_200 * MS;
+/// The shortest time between two calls where one discovery serves all proxies.
+const MIN_CALL_INTERVAL: Nanos = 200 * MS;
+/// The planned rate of calls of all proxies together at one discovery, for when most of them start at once.
+const FLEET_CALLS_PER_SECOND: u64 = 50;
+
+/// The part of the settings that determines when calls are made.
 #[derive(Clone, Copy, Debug)]
 pub struct PollConfig {
-    /// Lists are pushed to an agent on this machine (else one discovery is asked by all proxies).
+    /// Lists are pushed to an agent on this machine; otherwise all proxies poll one discovery.
     pub pushed: bool,
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxies: u32,
-    /// Without a watch the list must be asked for within this time.
+    /// Without a watch, the list must be requested at least this often.
     pub max_poll_interval: Nanos,
-    /// Nothing new goes to a box later than this after its drain was told.
+    /// A box gets no new requests later than this after its drain counts as notified.
     pub drain_grace: Nanos,
 }
 
@@ -69,54 +70,61 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No call is out.
-    Resting { next: Nanos },
-    /// A call that does not wait is out; if it has not answered by then, another one begins beside it.
-    Asking { opened: Nanos, anew: Nanos },
-    /// A call that waits for news is out; the same.
-    Watching { opened: Nanos, over: Nanos, anew: Nanos },
+    /// No call is in progress.
+    Idle { next_call: Nanos },
+    /// A call that does not wait is in progress; without an answer by `timeout`, another one begins beside it.
+    Polling { began: Nanos, timeout: Nanos },
+    /// A call that waits for an update until `wait_end` is in progress; the same holds for its `timeout`.
+    Watching { began: Nanos, wait_end: Nanos, timeout: Nanos },
 }
 
-/// Plans the calls of one proxy. Its host opens one whenever [`PollScheduler::start_if_due`] says so, and tells what became of it.
+/// Schedules the calls of one proxy. The host makes a call whenever [`PollScheduler::start_if_due`] says so, and reports
+/// the result.
 #[derive(Debug)]
 pub struct PollScheduler {
-    terms: PollConfig,
-    random: u64,
+    config: PollConfig,
+    random_state: u64,
     state: State,
-    /// Calls in a row that failed or fell silent.
+    /// Consecutive calls that failed or did not answer.
     failures: u32,
-    /// The earliest moment at which something that this proxy may have missed counts as told. Where lists are pushed
-    /// calls in trouble follow one another so closely ([`PollScheduler::often`]) that nothing is reckoned with it.
-    owed: Option<Nanos>,
+    /// The earliest moment at which an update that this proxy may have missed counts as notified. Unused where lists are
+    /// pushed: failed calls are repeated so soon there ([`PollScheduler::agent_retry_interval`]) that the time does not
+    /// matter.
+    missed_update_deadline: Option<Nanos>,
 }
 
 impl PollScheduler {
-    /// A process that has just begun, with a list that may be old.
-    pub fn new(terms: PollConfig, seed: u64, now: Nanos) -> Self {
-        let state = State::Resting { next: now };
-        let mut follower = PollScheduler { terms, random: seed, state, failures: 0, owed: None };
-        if !terms.pushed {
-            let fleet = follower.fleet();
-            follower.state = State::Resting { next: now + follower.part_of(fleet, 0.2) };
+    /// The scheduler of a process that has just started, with a list that may be outdated.
+    pub fn new(config: PollConfig, seed: u64, now: Nanos) -> Self {
+        let mut scheduler = PollScheduler {
+            config,
+            random_state: seed,
+            state: State::Idle { next_call: now },
+            failures: 0,
+            missed_update_deadline: None,
+        };
+        if !config.pushed {
+            let spread = scheduler.fleet_spread();
+            scheduler.state = State::Idle { next_call: now + scheduler.random_part(spread, 0.2) };
         }
-        follower
+        scheduler
     }
 
-    /// Other settings hold from now on.
-    pub fn configure(&mut self, terms: PollConfig) {
-        self.terms = terms;
+    /// Replaces the configuration. A call or a delay in progress keeps its times.
+    pub fn configure(&mut self, config: PollConfig) {
+        self.config = config;
     }
 
-    /// When [`PollScheduler::start_if_due`] is to be asked next.
+    /// When [`PollScheduler::start_if_due`] is to be called next.
     pub fn next_wakeup(&self) -> Nanos {
         match self.state {
-            State::Resting { next } => next,
-            State::Asking { anew, .. } | State::Watching { anew, .. } => anew,
+            State::Idle { next_call } => next_call,
+            State::Polling { timeout, .. } | State::Watching { timeout, .. } => timeout,
         }
     }
 
-    /// True if a call that does not wait is to begin now. One that is out is silent then: what it may still say is to be
-    /// listened for, since it counts as told when it is written.
+    /// True if a call that does not wait is to begin now. A call still in progress then counts as silent, but its
+    /// connection is to be read further: an answer counts as notified once discovery has written it.
     pub fn start_if_due(&mut self, now: Nanos) -> bool {
         let due = self.next_wakeup() <= now;
         if due {
@@ -125,94 +133,101 @@
         due
     }
 
-    /// The call that is out has stopped in the middle of its answer: another one begins now, as if it were due.
+    /// The answer to the call in progress has stalled midway: another call begins now, as if it were due.
     pub fn start_replacement(&mut self, now: Nanos) {
         match self.state {
-            State::Resting { .. } => {}
-            State::Asking { opened, .. } => {
+            State::Idle { .. } => {}
+            State::Polling { began, .. } => {
                 self.failures += 1;
-                self.owe(opened + TOLD);
+                self.note_missed_update(began + NOTIFIED_AFTER_SILENT_CALL);
+            }
+            State::Watching { began, wait_end, .. } => {
+                self.note_missed_update(
+                    (began + NOTIFIED_AFTER_SILENT_CALL).max(wait_end + NOTIFIED_AFTER_WAIT),
+                );
             }
-            State::Watching { opened, over, .. } => self.owe((opened + TOLD).max(over + TOLD_AFTER_WAIT)),
         }
-        self.state = State::Asking { opened: now, anew: now + self.patience(now) };
+        self.state = State::Polling { began: now, timeout: now + self.call_timeout(now) };
     }
 
-    /// A call has told the list in force or a newer one: the latest that began, or one that has been given up since. A
-    /// call that waits so long for what comes next is to begin now, if any.
+    /// A call returned the list in force or a newer one. `latest` is false for a call that was replaced by a later one.
+    /// Returns the wait of the watch that is to begin now, if any.
     pub fn list_received(&mut self, now: Nanos, latest: bool) -> Option<Nanos> {
         if !latest && matches!(self.state, State::Watching { .. }) {
             return None;
         }
-        (self.failures, self.owed) = (0, None);
-        let wait = if self.terms.pushed { WAIT_PUSHED } else { WAIT };
-        self.state = State::Watching { opened: now, over: now + wait, anew: now + wait + SILENT };
+        (self.failures, self.missed_update_deadline) = (0, None);
+        let wait = if self.config.pushed { WATCH_WAIT_PUSHED } else { WATCH_WAIT };
+        self.state = State::Watching { began: now, wait_end: now + wait, timeout: now + wait + WATCH_GRACE };
         Some(wait)
     }
 
-    /// The latest call was refused, reset, or told nothing that can be used.
+    /// The latest call was refused or reset, or returned nothing usable.
     pub fn poll_failed(&mut self, now: Nanos) {
         self.failures += 1;
-        let delay = if self.terms.pushed {
-            self.often()
+        let delay = if self.config.pushed {
+            self.agent_retry_interval()
         } else {
-            let most = (self.terms.max_poll_interval / 3).max(SECOND).max(self.fleet());
-            let backoff = self.part_of((self.fleet() << self.failures.min(8)).min(most), 0.2);
-            backoff.min(self.part_of(self.bound(now), 0.75))
+            let longest = (self.config.max_poll_interval / 3).max(SECOND).max(self.fleet_spread());
+            let backoff = self.random_part((self.fleet_spread() << self.failures.min(8)).min(longest), 0.2);
+            backoff.min(self.random_part(self.longest_step(now), 0.75))
         };
-        self.state = State::Resting { next: now + delay };
+        self.state = State::Idle { next_call: now + delay };
     }
 
-    /// Discovery is elsewhere from now on; the calls that were out are over.
+    /// The address of discovery has changed; the calls in progress are over.
     pub fn discovery_moved(&mut self, now: Nanos) {
         self.failures = 0;
-        self.owed = Some(now + TOLD_AFTER_MOVE);
-        self.state = State::Resting { next: now };
+        self.missed_update_deadline = Some(now + NOTIFIED_AFTER_MOVE);
+        self.state = State::Idle { next_call: now };
     }
 
-    fn owe(&mut self, told: Nanos) {
-        self.owed = Some(self.owed.map_or(told, |owed| owed.min(told)));
+    fn note_missed_update(&mut self, notified_at: Nanos) {
+        self.missed_update_deadline =
+            Some(self.missed_update_deadline.map_or(notified_at, |earliest| earliest.min(notified_at)));
     }
 
-    /// How long the next step may take at the most: half of what is left until something counts as told, so that several
-    /// follow. Once it is too late, the more time has passed the less haste there is.
-    fn bound(&self, now: Nanos) -> Nanos {
-        self.owed.map_or(Nanos::MAX, |owed| (owed.abs_diff(now) / 2).max(SHORTEST))
+    /// The longest time that the next step may take: half of the time left until a missed update counts as notified, so
+    /// that several steps fit. Past that moment the limit grows with the time since it, which backs off.
+    fn longest_step(&self, now: Nanos) -> Nanos {
+        self.missed_update_deadline
+            .map_or(Nanos::MAX, |deadline| (deadline.abs_diff(now) / 2).max(MIN_CALL_INTERVAL))
     }
 
-    /// How long a call that does not wait may be out before another one begins.
-    fn patience(&self, now: Nanos) -> Nanos {
-        if self.terms.pushed {
-            self.often() * 3 / 2
+    /// How long a call that does not wait may go without an answer before another one begins.
+    fn call_timeout(&self, now: Nanos) -> Nanos {
+        if self.config.pushed {
+            self.agent_retry_interval() * 3 / 2
         } else {
-            QUEUED.min(self.bound(now))
+            QUEUED_CALL_TIMEOUT.min(self.longest_step(now))
         }
     }
 
-    /// The time between two tries to reach an agent on this machine: several within the grace.
-    fn often(&self) -> Nanos {
-        (self.terms.drain_grace / 5).clamp(20 * MS, 100 * MS)
+    /// The time between two attempts to reach an agent on this machine: several within the drain grace.
+    fn agent_retry_interval(&self) -> Nanos {
+        (self.config.drain_grace / 5).clamp(20 * MS, 100 * MS)
     }
 
-    /// How long a proxy may go without a call before the list counts as known without it, some time to spare.
-    fn latest_call(&self) -> Nanos {
-        self.terms.max_poll_interval.max(2 * SECOND) * 4 / 5
+    /// The longest planned time without a call: the maximum poll interval less a margin.
+    fn longest_call_gap(&self) -> Nanos {
+        self.config.max_poll_interval.max(2 * SECOND) * 4 / 5
     }
 
-    /// The time over which the calls of all proxies are spread, so that they make about [`CALLS`] a second.
-    fn fleet(&self) -> Nanos {
-        (Nanos::from(self.terms.proxies) * SECOND / CALLS).clamp(400 * MS, self.latest_call())
+    /// The period over which the calls of all proxies are spread, for about [`FLEET_CALLS_PER_SECOND`].
+    fn fleet_spread(&self) -> Nanos {
+        (Nanos::from(self.config.proxies) * SECOND / FLEET_CALLS_PER_SECOND)
+            .clamp(400 * MS, self.longest_call_gap())
     }
 
-    /// By chance at least so large a part of a span, and at the most all of it.
-    fn part_of(&mut self, span: Nanos, least: f64) -> Nanos {
-        (span as f64 * (least + (1.0 - least) * self.chance())) as Nanos
+    /// A random part of a duration, from `least` of it up to all of it.
+    fn random_part(&mut self, duration: Nanos, least: f64) -> Nanos {
+        (duration as f64 * (least + (1.0 - least) * self.random())) as Nanos
     }
 
-    /// A number from 0 up to 1.
-    fn chance(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut x = self.random;
+    /// The next random number, from 0 (inclusive) to 1 (exclusive), by SplitMix64.
+    fn random(&mut self) -> f64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut x = self.random_state;
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/freshness/src/subscription.rs
+++ b/crates/freshness/src/subscription.rs
@@ -1,50 +1,51 @@
-//! A subscription that goes on by itself: in the simulator and the model changes arrive unasked once it has begun.
+//! A subscription to discovery whose updates arrive without further calls, as in the simulator and the model.
 
 use crate::{Nanos, PollConfig, PollScheduler};
 use calicosaddle::api::{Action, Event, ListKind, Settings};
 
-/// Tokens of timers that are not the module's own.
-const TOKEN: u64 = 2 << 56;
+/// Token of the subscription's timer, apart from those that the module uses.
+const TIMER_TOKEN: u64 = 2 << 56;
 
-/// Subscribes for a module whose settings say that lists must be asked for, and again whenever that fails.
+/// Subscribes on behalf of a module whose settings require polling for lists, and again after each failure.
 #[derive(Debug)]
 pub struct Subscription {
-    /// What is followed from the first list on, which is the one that was known before.
-    begins: Option<(PollConfig, u64)>,
-    follower: Option<PollScheduler>,
+    /// The scheduler's configuration and seed, until the cached list starts it.
+    pending: Option<(PollConfig, u64)>,
+    scheduler: Option<PollScheduler>,
     subscribed: bool,
 }
 
 impl Subscription {
-    /// A process that has heard nothing yet.
+    /// The subscription of a process that has received no list yet.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        let begins = settings.must_ask.then(|| (PollConfig::from(settings), seed));
-        Subscription { begins, follower: None, subscribed: false }
+        let pending = settings.must_ask.then(|| (PollConfig::from(settings), seed));
+        Subscription { pending, scheduler: None, subscribed: false }
     }
 
-    /// Looks at an event that is also the module's; what it calls for is appended.
+    /// Handles an event that the module gets too, and appends the resulting actions.
     pub fn handle(&mut self, now: Nanos, event: &Event, actions: &mut Vec<Action>) {
         if let Event::List { kind: ListKind::Cached, .. } = event {
-            self.follower = self.begins.take().map(|(terms, seed)| PollScheduler::new(terms, seed, now));
+            self.scheduler = self.pending.take().map(|(config, seed)| PollScheduler::new(config, seed, now));
         }
-        let Some(follower) = &mut self.follower else { return };
+        let Some(scheduler) = &mut self.scheduler else { return };
         match event {
             Event::List { kind: ListKind::Failed, .. } => {
                 self.subscribed = false;
-                follower.poll_failed(now);
+                scheduler.poll_failed(now);
             }
             Event::List { kind: ListKind::Cached, .. } => {}
             Event::List { .. } if !self.subscribed => {
-                // Changes come from now on, whatever their number: no call is to wait for them.
+                // Updates arrive by themselves from now on, so no watch has to begin.
                 self.subscribed = true;
-                follower.list_received(now, true);
+                scheduler.list_received(now, true);
                 return;
             }
-            Event::Timer(TOKEN) if !self.subscribed && follower.start_if_due(now) => {
-                actions.push(Action::Subscribe)
+            Event::Timer(TIMER_TOKEN) if !self.subscribed && scheduler.start_if_due(now) => {
+                actions.push(Action::Subscribe);
             }
             _ => return,
         }
-        actions.push(Action::Timer { token: TOKEN, delay: follower.next_wakeup().saturating_sub(now) });
+        let delay = scheduler.next_wakeup().saturating_sub(now);
+        actions.push(Action::Timer { token: TIMER_TOKEN, delay });
     }
 }
--- a/crates/freshness/tests/histories.rs
+++ b/crates/freshness/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Drawn histories of discovery's faults against the time at which news counts as told.
+//! Random histories of discovery failures against the time at which updates count as notified.
 
 use calicosaddle::api::{Action, Event, ListKind, Settings};
 use freshness::{Nanos, PollConfig, PollScheduler, Subscription};
@@ -7,49 +7,56 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 
-/// What becomes of a call.
+/// The result of a call.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum CallResult {
     Answered,
     Refused,
     Silent,
 }
 
-fn terms(pushed: bool, proxies: u32) -> PollConfig {
+fn config(pushed: bool, proxies: u32) -> PollConfig {
     PollConfig { pushed, proxies, max_poll_interval: 10 * SECOND, drain_grace: 500 * MS }
 }
 
-/// Brings a follower to a watch that has just begun; the time, and how long the watch waits.
-fn watching(follower: &mut PollScheduler) -> (Nanos, Nanos) {
-    let mut now = follower.next_wakeup();
-    assert!(follower.start_if_due(now));
+/// Brings a scheduler to a watch that has just begun; returns the time, and how long the watch waits.
+fn start_watch(scheduler: &mut PollScheduler) -> (Nanos, Nanos) {
+    let mut now = scheduler.next_wakeup();
+    assert!(scheduler.start_if_due(now), "the first call does not begin at {now} ns, when it is due");
     now += 5 * MS;
-    (now, follower.list_received(now, true).expect("a watch"))
+    (now, scheduler.list_received(now, true).expect("a received list begins a watch"))
 }
 
-/// The calls that begin from `now` on while each meets the fate that is drawn for it, up to `until`.
-fn calls(follower: &mut PollScheduler, fates: impl Fn(usize) -> (Fate, Nanos), until: Nanos) -> Vec<Nanos> {
-    let mut begun = Vec::new();
+/// The times at which calls begin, up to `until` or the first answer, where `result_of` gives each call's result and how
+/// long it takes.
+fn call_times(
+    scheduler: &mut PollScheduler,
+    result_of: impl Fn(usize) -> (CallResult, Nanos),
+    until: Nanos,
+) -> Vec<Nanos> {
+    let mut began = Vec::new();
     loop {
-        let now = follower.next_wakeup();
+        let now = scheduler.next_wakeup();
         if now > until {
-            return begun;
+            return began;
         }
-        assert!(follower.start_if_due(now), "what is due at {now} begins then");
-        let (fate, takes) = fates(begun.len());
-        begun.push(now);
-        match fate {
-            // A refusal after the next call has begun is the refusal of one that was given up: no news.
-            Fate::Refused if now + takes < follower.next_wakeup() => follower.poll_failed(now + takes),
-            Fate::Answered if now + takes < follower.next_wakeup() => return begun,
+        assert!(scheduler.start_if_due(now), "the call due at {now} ns does not begin then");
+        let (result, duration) = result_of(began.len());
+        began.push(now);
+        match result {
+            // A refusal that comes after the next call has begun belongs to a replaced call and is not reported.
+            CallResult::Refused if now + duration < scheduler.next_wakeup() => {
+                scheduler.poll_failed(now + duration);
+            }
+            CallResult::Answered if now + duration < scheduler.next_wakeup() => return began,
             _ => {}
         }
     }
 }
 
-fn fate() -> impl Strategy<Value = (Fate, Nanos)> {
-    let kind = prop_oneof![Just(Fate::Refused), Just(Fate::Silent)];
-    (kind, (0..900u64).prop_map(|ms| ms * MS))
+fn failed_call() -> impl Strategy<Value = (CallResult, Nanos)> {
+    let result = prop_oneof![Just(CallResult::Refused), Just(CallResult::Silent)];
+    (result, (0..900u64).prop_map(|ms| ms * MS))
 }
 
 proptest! {
@@ -57,79 +64,86 @@
 
     /// After a silent watch, two calls that are refused, late or silent in any order leave time for a third.
     #[test]
-    fn after_a_silent_watch_several_calls_begin_before_its_news_counts_as_told(
-        pushed: bool, proxies in 1u32..2_000, seed: u64, fates in prop::collection::vec(fate(), 2),
+    fn after_a_silent_watch_a_third_call_begins_before_its_update_counts_as_notified(
+        pushed: bool, proxies in 1u32..2_000, seed: u64, results in prop::collection::vec(failed_call(), 2),
     ) {
-        let mut follower = PollScheduler::new(terms(pushed, proxies), seed, SECOND);
-        let (at, wait) = watching(&mut follower);
-        let told = (at + 6 * SECOND).max(at + wait + 2 * SECOND);
-        let begun = calls(&mut follower, |i| fates.get(i).copied().unwrap_or((Fate::Answered, 0)), told);
-        prop_assert!(begun.len() > 2, "told at {} ms: {:?}", told / MS, begun);
+        let mut scheduler = PollScheduler::new(config(pushed, proxies), seed, SECOND);
+        let (watch_began, wait) = start_watch(&mut scheduler);
+        let notified_at = (watch_began + 6 * SECOND).max(watch_began + wait + 2 * SECOND);
+        let result_of = |i: usize| results.get(i).copied().unwrap_or((CallResult::Answered, 0));
+        let began = call_times(&mut scheduler, result_of, notified_at);
+        prop_assert!(began.len() > 2, "calls before {} ms, when notified: {:?}", notified_at / MS, began);
     }
 
-    /// So do they after a call that was silent from its beginning, and after a move of discovery.
+    /// The same after a first call that was silent from its beginning, and after a move of discovery.
     #[test]
-    fn after_a_silent_first_call_or_a_move_calls_begin_before_news_counts_as_told(
-        moved: bool, proxies in 1u32..2_000, seed: u64, fates in prop::collection::vec(fate(), 2),
+    fn after_a_silent_first_call_or_a_move_a_further_call_begins_before_updates_count_as_notified(
+        moved: bool, proxies in 1u32..2_000, seed: u64, results in prop::collection::vec(failed_call(), 2),
     ) {
-        let mut follower = PollScheduler::new(terms(false, proxies), seed, SECOND);
-        let (mut at, _) = watching(&mut follower);
-        let mut all = vec![(Fate::Silent, 0)];
-        let told = if moved {
+        let mut scheduler = PollScheduler::new(config(false, proxies), seed, SECOND);
+        let (mut at, _) = start_watch(&mut scheduler);
+        let mut all = vec![(CallResult::Silent, 0)];
+        let notified_at = if moved {
             at += 100 * MS;
-            follower.discovery_moved(at);
+            scheduler.discovery_moved(at);
             at + 4 * SECOND
         } else {
-            // The watch is reset; the next call says nothing.
-            follower.poll_failed(at);
-            at = follower.next_wakeup();
+            // The watch is reset, and the next call is silent.
+            scheduler.poll_failed(at);
+            at = scheduler.next_wakeup();
             at + 6 * SECOND
         };
-        all.extend(fates);
-        let begun = calls(&mut follower, |i| all.get(i).copied().unwrap_or((Fate::Answered, 0)), told);
-        prop_assert!(begun.len() > all.len(), "told at {} ms: {:?}", told / MS, begun);
+        all.extend(results);
+        let result_of = |i: usize| all.get(i).copied().unwrap_or((CallResult::Answered, 0));
+        let began = call_times(&mut scheduler, result_of, notified_at);
+        prop_assert!(began.len() > all.len(), "calls before {} ms, when notified: {:?}", notified_at / MS, began);
     }
 
-    /// Where lists are pushed the agent is called again within half of the grace, whatever becomes of the calls.
+    /// Where lists are pushed, the agent is called again within half of the drain grace, whatever the results.
     #[test]
-    fn an_agent_is_called_again_within_half_of_the_grace(
-        grace in 100u64..2_000, seed: u64, fates in prop::collection::vec(fate(), 20),
+    fn an_agent_is_called_again_within_half_of_the_drain_grace(
+        grace in 100u64..2_000, seed: u64, results in prop::collection::vec(failed_call(), 20),
     ) {
-        let terms = PollConfig { drain_grace: grace * MS, ..terms(true, 350) };
-        let mut follower = PollScheduler::new(terms, seed, SECOND);
-        prop_assert_eq!(follower.next_wakeup(), SECOND);
-        let begun = calls(&mut follower, |i| fates.get(i).copied().unwrap_or((Fate::Answered, 0)), 60 * SECOND);
-        prop_assert!(begun.windows(2).all(|two| two[1] - two[0] <= terms.drain_grace / 2), "{begun:?}");
+        let config = PollConfig { drain_grace: grace * MS, ..config(true, 350) };
+        let mut scheduler = PollScheduler::new(config, seed, SECOND);
+        prop_assert_eq!(scheduler.next_wakeup(), SECOND);
+        let result_of = |i: usize| results.get(i).copied().unwrap_or((CallResult::Answered, 0));
+        let began = call_times(&mut scheduler, result_of, 60 * SECOND);
+        prop_assert!(began.windows(2).all(|two| two[1] - two[0] <= config.drain_grace / 2), "{began:?}");
     }
 }
 
 #[test]
-fn a_fleet_that_begins_at_once_spreads_its_calls_and_keeps_to_them_while_discovery_is_down() {
+fn a_fleet_that_starts_at_once_spreads_its_calls_also_while_discovery_is_down() {
     for proxies in [100u32, 350] {
         let mut first = Vec::new();
         let mut all = Vec::new();
         for seed in 0..u64::from(proxies) {
-            let mut follower = PollScheduler::new(terms(false, proxies), seed * 77 + 1, 0);
-            let begun = calls(&mut follower, |_| (Fate::Refused, 0), 30 * SECOND);
-            first.push(begun[0]);
-            all.extend(begun);
+            let mut scheduler = PollScheduler::new(config(false, proxies), seed * 77 + 1, 0);
+            let began = call_times(&mut scheduler, |_| (CallResult::Refused, 0), 30 * SECOND);
+            first.push(began[0]);
+            all.extend(began);
         }
-        let most = |calls: &[Nanos]| {
-            let within = |at: &Nanos| calls.iter().filter(|c| **c >= *at && **c < *at + SECOND).count();
-            calls.iter().map(within).max().unwrap_or(0)
+        let most_in_a_second = |calls: &[Nanos]| {
+            let from = |at: &Nanos| calls.iter().filter(|c| **c >= *at && **c < *at + SECOND).count();
+            calls.iter().map(from).max().unwrap_or(0)
         };
-        assert!(most(&first) <= 110, "{proxies}: {} first calls in a second", most(&first));
-        assert!(most(&all) <= 150, "{proxies}: {} calls in a second", most(&all));
+        let (first, all) = (most_in_a_second(&first), most_in_a_second(&all));
+        assert!(first <= 110, "{proxies} proxies: {first} first calls in a second, at most 110 expected");
+        assert!(all <= 150, "{proxies} proxies: {all} calls in a second, at most 150 expected");
     }
 }
 
-/// Starts so many proxies at once with an old list before a discovery that takes 40 calls a second, and turns away
-/// what would wait for over a second. Tells the most calls in a second, all calls, and when the last one was told.
-fn returned(proxies: u32) -> (usize, usize, Nanos) {
+/// Starts all proxies at once with an old list, against a discovery that serves 40 calls a second and rejects those
+/// that would be queued for more than a second. Returns the most calls in a second, the number of calls, and when the
+/// last proxy received its list.
+fn restart_fleet(proxies: u32) -> (usize, usize, Nanos) {
     let mut all: Vec<PollScheduler> =
-        (0..u64::from(proxies)).map(|i| PollScheduler::new(terms(false, proxies), i * 77 + 1, 0)).collect();
-    let (mut free_at, mut calls, mut told) = (0, Vec::new(), vec![None; all.len()]);
-    while let Some(i) = (0..all.len()).filter(|i| told[*i].is_none()).min_by_key(|i| all[*i].next_wakeup()) {
+        (0..u64::from(proxies)).map(|i| PollScheduler::new(config(false, proxies), i * 77 + 1, 0)).collect();
+    let (mut free_at, mut calls, mut received) = (0, Vec::new(), vec![None; all.len()]);
+    while let Some(i) =
+        (0..all.len()).filter(|i| received[*i].is_none()).min_by_key(|i| all[*i].next_wakeup())
+    {
         let now = all[i].next_wakeup();
         assert!(now < 120 * SECOND && all[i].start_if_due(now), "{calls:?}");
         calls.push(now);
@@ -138,50 +152,55 @@
             all[i].poll_failed(now);
         } else {
             free_at += SECOND / 40;
-            told[i] = Some(free_at);
+            received[i] = Some(free_at);
         }
     }
     let in_second = |t: &Nanos| calls.iter().filter(|c| **c >= *t && **c < *t + SECOND).count();
     let most = calls.iter().map(in_second).max().unwrap_or(0);
-    (most, calls.len(), told.into_iter().flatten().max().unwrap_or(0))
+    (most, calls.len(), received.into_iter().flatten().max().unwrap_or(0))
 }
 
 #[test]
-fn proxies_that_return_at_once_spread_their_calls_to_an_overbooked_discovery() {
+fn a_fleet_that_restarts_at_once_does_not_overload_a_slow_discovery() {
     for proxies in [100, 350] {
-        let (most, all, last) = returned(proxies);
-        // The sum over all: about 50 a second by the mean of the first delays, and fewer with each failure.
-        assert!(most <= 110, "{proxies} proxies: {most} calls in a second");
-        assert!(all <= 3 * proxies as usize, "{proxies} proxies: {all} calls");
+        let (most, all, last) = restart_fleet(proxies);
+        // About 50 calls a second by the mean of the first delays, and fewer with each failure.
+        assert!(most <= 110, "{proxies} proxies: {most} calls in a second, at most 110 expected");
+        assert!(all <= 3 * proxies as usize, "{proxies} proxies: {all} calls, at most three each expected");
         let needed = u64::from(proxies) * SECOND / 40;
-        assert!(last < 3 * needed + 5 * SECOND, "{proxies} proxies: told after {} s", last / SECOND);
+        assert!(
+            last < 3 * needed + 5 * SECOND,
+            "{proxies} proxies: last list received after {} s",
+            last / SECOND
+        );
     }
 }
 
 #[test]
-fn a_stream_is_subscribed_to_again_after_each_failure_and_only_where_lists_are_asked_for() {
+fn a_subscription_is_renewed_after_each_failure_and_only_where_lists_are_polled() {
     let list = |kind| Event::List { kind, entries: Vec::new() };
     let settings = Settings { must_ask: true, proxies: 4, must_ask_in: 10 * SECOND, ..Settings::default() };
     let mut pushed = Subscription::new(&Settings { must_ask: false, ..settings.clone() }, 3);
-    let (mut stream, mut now, mut actions) = (Subscription::new(&settings, 3), SECOND, Vec::new());
+    let mut subscription = Subscription::new(&settings, 3);
+    let (mut now, mut actions) = (SECOND, Vec::new());
     pushed.handle(now, &list(ListKind::Cached), &mut actions);
     assert_eq!(actions, []);
-    stream.handle(now, &list(ListKind::Cached), &mut actions);
+    subscription.handle(now, &list(ListKind::Cached), &mut actions);
     for _ in 0..6 {
         let [Action::Timer { token, delay }] = actions[..] else { panic!("{actions:?}") };
         assert!(delay < settings.must_ask_in);
         now += delay;
         actions.clear();
-        stream.handle(now, &Event::Timer(token), &mut actions);
+        subscription.handle(now, &Event::Timer(token), &mut actions);
         assert_eq!(actions[0], Action::Subscribe);
         actions.clear();
-        stream.handle(now, &list(ListKind::Failed), &mut actions);
+        subscription.handle(now, &list(ListKind::Failed), &mut actions);
     }
     let [Action::Timer { token, delay }] = actions[..] else { panic!("{actions:?}") };
     now += delay;
-    stream.handle(now, &Event::Timer(token), &mut actions);
+    subscription.handle(now, &Event::Timer(token), &mut actions);
     actions.clear();
-    stream.handle(now, &list(ListKind::Full), &mut actions);
-    stream.handle(now + 60 * SECOND, &Event::Timer(token), &mut actions);
-    assert_eq!(actions, [], "a subscription that holds is left alone");
+    subscription.handle(now, &list(ListKind::Full), &mut actions);
+    subscription.handle(now + 60 * SECOND, &Event::Timer(token), &mut actions);
+    assert_eq!(actions, [], "an open subscription needs no action");
 }
--- a/crates/pipeline/src/latency.rs
+++ b/crates/pipeline/src/latency.rs
@@ -1,22 +1,22 @@
-//! What boxes were measured to take.
+//! Measured latencies of boxes.
 
 use crate::{CommandKind, Nanos};
 
-/// The shortest time that is told apart.
-const SHORTEST: Nanos = 64_000;
-/// Two classes an octave, from 64 us to 4 s.
-const CLASSES: usize = 33;
-/// Beyond so many, older ones count half.
-const KEPT: u16 = 512;
-/// From so many outcomes on, a time is known.
-const EVIDENCE: u16 = 8;
-
-/// BoxLatencies, counted in classes that grow by the square root of two; old ones fade as new ones come.
-/// 68 bytes.
+/// The upper end of the first bucket.
+const MIN_RESOLVED: Nanos = 64_000;
+/// Two buckets per octave, from 64 us to 4 s.
+const BUCKETS: usize = 33;
+/// Beyond this many samples, all counts are halved.
+const MAX_SAMPLES: u16 = 512;
+/// The fewest samples from which a latency is estimated.
+const MIN_SAMPLES: u16 = 8;
+
+/// A histogram of latencies whose buckets grow by the square root of two. Old samples fade as new ones are recorded.
+/// It takes 68 bytes.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram {
-    counts: [u16; CLASSES],
-    all: u16,
+    counts: [u16; BUCKETS],
+    total: u16,
 }
 
 impl Default for LatencyHistogram {
@@ -25,126 +25,126 @@
     }
 }
 
-/// The upper ends of the classes.
-const ENDS: [Nanos; CLASSES] = {
-    let mut ends = [0; CLASSES];
-    let mut class = 0;
-    while class < CLASSES {
-        let octave = SHORTEST << (class / 2);
-        ends[class] = if class % 2 == 0 { octave } else { octave + octave * 53 / 128 };
-        class += 1;
+/// The upper ends of the buckets.
+const UPPER_ENDS: [Nanos; BUCKETS] = {
+    let mut ends = [0; BUCKETS];
+    let mut bucket = 0;
+    while bucket < BUCKETS {
+        let octave = MIN_RESOLVED << (bucket / 2);
+        ends[bucket] = if bucket % 2 == 0 { octave } else { octave + octave * 53 / 128 };
+        bucket += 1;
     }
     ends
 };
 
-/// A time that stands for a class.
-fn middle(class: usize) -> Nanos {
-    ENDS[class] - ENDS[class] / 7
+/// The latency that represents a bucket.
+fn midpoint(bucket: usize) -> Nanos {
+    UPPER_ENDS[bucket] - UPPER_ENDS[bucket] / 7
 }
 
 impl LatencyHistogram {
-    /// Nothing seen.
-    pub const NONE: LatencyHistogram = LatencyHistogram { counts: [0; CLASSES], all: 0 };
-
-    /// Takes one more.
-    pub fn record(&mut self, time: Nanos) {
-        let class = ENDS.partition_point(|end| *end < time).min(CLASSES - 1);
-        self.counts[class] += 1;
-        self.all += 1;
-        if self.all > KEPT {
+    /// An empty histogram.
+    pub const NONE: LatencyHistogram = LatencyHistogram { counts: [0; BUCKETS], total: 0 };
+
+    /// Records a sample.
+    pub fn record(&mut self, latency: Nanos) {
+        let bucket = UPPER_ENDS.partition_point(|end| *end < latency).min(BUCKETS - 1);
+        self.counts[bucket] += 1;
+        self.total += 1;
+        if self.total > MAX_SAMPLES {
             self.counts.iter_mut().for_each(|n| *n /= 2);
-            self.all = self.counts.iter().sum();
+            self.total = self.counts.iter().sum();
         }
     }
 
-    /// From how many it speaks.
+    /// The number of samples, faded ones counted in part.
     pub fn sample_count(&self) -> u16 {
-        self.all
+        self.total
     }
 
-    /// The time that this part of them does not pass; nothing where there are too few to say.
+    /// The latency that this part of the samples does not exceed; `None` if there are too few of them.
     pub fn quantile(&self, part: f64) -> Option<Nanos> {
-        // Of ten times none says where the 99th percentile is.
-        if self.all < EVIDENCE || f64::from(self.all) * (1.0 - part) < 0.5 {
+        // A high quantile needs samples above it: ten of them do not determine the 99th percentile.
+        if self.total < MIN_SAMPLES || f64::from(self.total) * (1.0 - part) < 0.5 {
             return None;
         }
-        let wanted = f64::from(self.all) * part;
+        let wanted = f64::from(self.total) * part;
         let mut sum = 0.0;
-        for (class, n) in self.counts.iter().enumerate() {
+        for (bucket, n) in self.counts.iter().enumerate() {
             sum += f64::from(*n);
             if sum >= wanted {
-                return Some(ENDS[class]);
+                return Some(UPPER_ENDS[bucket]);
             }
         }
-        Some(ENDS[CLASSES - 1])
+        Some(UPPER_ENDS[BUCKETS - 1])
     }
 
-    /// The longest that was seen, if anything was.
+    /// The largest sample, if there is any.
     pub fn max(&self) -> Option<Nanos> {
-        self.counts.iter().rposition(|n| *n > 0).map(|class| ENDS[class])
+        self.counts.iter().rposition(|n| *n > 0).map(|bucket| UPPER_ENDS[bucket])
     }
 
-    /// How much longer something takes that has taken so long: the mean of what longer ones took beyond it. What has
-    /// outlasted all that was seen is expected to take as long again. Nothing without evidence.
+    /// The expected remaining time of something that has taken `age` so far: the mean excess of the longer samples. What
+    /// is older than all samples is expected to take its age again. `None` if there are too few samples.
     pub fn expected_remaining(&self, age: Nanos) -> Option<Nanos> {
-        if self.all < EVIDENCE {
+        if self.total < MIN_SAMPLES {
             return None;
         }
         let (mut n, mut sum) = (0.0, 0.0);
-        for (class, count) in self.counts.iter().enumerate().filter(|(c, _)| middle(*c) > age) {
+        for (bucket, count) in self.counts.iter().enumerate().filter(|(b, _)| midpoint(*b) > age) {
             n += f64::from(*count);
-            sum += f64::from(*count) * (middle(class) - age) as f64;
+            sum += f64::from(*count) * (midpoint(bucket) - age) as f64;
         }
         Some(if n < 0.5 { age } else { (sum / n) as Nanos })
     }
 }
 
-/// What one box was measured to take, over all connections to it.
+/// The measured latencies of one box, over all connections to it.
 #[derive(Clone, Debug, Default)]
 pub struct BoxLatencies {
-    /// From the last byte of a command to its answer, where nothing stood before it: of reads and of writes.
-    alone: [LatencyHistogram; 2],
-    /// From one answer to the next, where the later command stood behind: nearly nothing at a box that works on the
-    /// commands of a connection at once, a whole service time at one that takes them one by one.
-    gaps: LatencyHistogram,
+    /// From the last byte of a command to its answer, for commands written behind no other: reads, then writes.
+    head: [LatencyHistogram; 2],
+    /// From one answer to the next, for commands written behind others: almost zero at a box that processes the commands
+    /// of a connection concurrently, a full service time at one that processes them one by one.
+    answer_gap: LatencyHistogram,
     /// From the first packet of a connection until it is up.
-    connects: LatencyHistogram,
+    connect_time: LatencyHistogram,
 }
 
 impl BoxLatencies {
-    /// Nothing seen.
+    /// No samples.
     pub const NONE: BoxLatencies = BoxLatencies {
-        alone: [LatencyHistogram::NONE; 2],
-        gaps: LatencyHistogram::NONE,
-        connects: LatencyHistogram::NONE,
+        head: [LatencyHistogram::NONE; 2],
+        answer_gap: LatencyHistogram::NONE,
+        connect_time: LatencyHistogram::NONE,
     };
 
-    /// An answer came.
+    /// Records an answer: for a pipelined command the time that it was the head of its connection, otherwise its latency.
     pub fn record_answer(&mut self, kind: CommandKind, pipelined: bool, latency: Nanos, head_time: Nanos) {
         if pipelined {
-            self.gaps.record(head_time);
+            self.answer_gap.record(head_time);
         } else {
-            self.alone[usize::from(kind.write)].record(latency);
+            self.head[usize::from(kind.write)].record(latency);
         }
     }
 
-    /// A connection came up after so long.
-    pub fn record_connect(&mut self, took: Nanos) {
-        self.connects.record(took);
+    /// Records how long a connection took to come up.
+    pub fn record_connect(&mut self, connect_time: Nanos) {
+        self.connect_time.record(connect_time);
     }
 
-    /// What heads took, of this kind.
+    /// The latency of commands of this kind that were written behind no other.
     pub fn head_latency(&self, kind: CommandKind) -> &LatencyHistogram {
-        &self.alone[usize::from(kind.write)]
+        &self.head[usize::from(kind.write)]
     }
 
-    /// What the next took after one was answered.
+    /// The time from one answer to that of the command behind it.
     pub fn answer_gap(&self) -> &LatencyHistogram {
-        &self.gaps
+        &self.answer_gap
     }
 
-    /// What connections took to come up.
+    /// The time that connections took to come up.
     pub fn connect_time(&self) -> &LatencyHistogram {
-        &self.connects
+        &self.connect_time
     }
 }
--- a/crates/pipeline/src/lib.rs
+++ b/crates/pipeline/src/lib.rs
@@ -1,10 +1,10 @@
-//! Pipelines: commands that go behind one another on a connection whose answers come in their order (RESP2 and RESP3,
-//! "Pipelining" in the protocol's specification).
+//! Pipelining: several commands in flight on one connection, answered in the order in which they were sent (RESP2 and
+//! RESP3, "Pipelining" in the protocol's specification).
 //!
-//! [`Pipeline`] keeps the commands of one connection: which wait, which are being written, which are written and not
-//! answered. It alone says what may have run when the connection breaks. [`BoxLatencies`] keeps what a box was measured to
-//! take. [`choose_connection`] chooses among the connections to one box. Which box, and whether again, is not asked here.
-//! No sockets, no clock: the host hands both in.
+//! [`Pipeline`] holds the commands of one connection: those queued, those being written, and those written but not
+//! answered. It alone determines which commands may have run when the connection breaks. [`BoxLatencies`] holds the
+//! measured latencies of a box. [`choose_connection`] chooses among the connections to one box. The choice of the box, and
+//! whether to retry, are left to the host, which also provides the sockets and the clock.
 
 mod connection_limit;
 mod latency;
@@ -21,5 +21,5 @@
 pub use queue::{CancelOutcome, Command, CommandKind, CompletedCommand, DisconnectOutcome, Pipeline};
 pub use settle_delay::SettleDelay;
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/pipeline/src/placement.rs
+++ b/crates/pipeline/src/placement.rs
@@ -1,35 +1,36 @@
-//! Where one more command goes among the connections to its box.
+//! Chooses the connection on which a command is sent to its box.
 
 use crate::{BoxLatencies, CommandKind, LatencyHistogram, Nanos, SettleDelay};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// How connections are chosen.
+/// The policy by which connections are chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementPolicy {
-    /// An idle one, else a new one, else the least busy.
+    /// An idle connection, otherwise a new one, otherwise the one with the fewest commands.
     #[default]
     Fixed,
-    /// The one on which the answer is expected first, a handshake charged for what it costs the box; none if it would
-    /// come past the aim.
+    /// The connection with the earliest expected answer, where a new one is charged for the cost of its handshake to the
+    /// box; none if the answer would come after the target time.
     Expected,
 }
 
-/// What the operator allows.
+/// The operator's settings for pipelines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PipelineConfig {
     /// How connections are chosen.
     pub placement: PlacementPolicy,
-    /// Commands on a connection before another read, and before another write, goes elsewhere.
+    /// The most commands on a connection that accepts another read, and that accepts another write.
     pub max_depth: [usize; 2],
-    /// Commands of different kinds don't share a connection.
+    /// Commands of different kinds do not share a connection.
     pub separate_kinds: bool,
-    /// A connection whose head is older than this part of its heads were takes nothing new; 1: whatever its age.
+    /// A connection accepts no commands while its head is older than this quantile of the head latencies; 1 disables the
+    /// check.
     pub head_quantile: f64,
-    /// The time to connect counts so many times more, for what the handshake costs the box.
+    /// The cost of a handshake to the box, as a multiple of the time to connect, which is added to that time.
     pub handshake_cost: f64,
-    /// How long a connection rests after an answer.
+    /// How long a connection waits after an answer before it carries the next command.
     pub settle_delay: SettleDelay,
 }
 
@@ -46,24 +47,24 @@
     }
 }
 
-/// A connection to the box, as it stands.
+/// The state of a connection to the box.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionState<'a, K> {
-    /// The host's name for it.
+    /// The host's key for it.
     pub key: K,
-    /// It is up; else it is being connected.
+    /// It is up; otherwise it is still connecting.
     pub connected: bool,
-    /// Since when it is being connected, or when it last carried anything.
+    /// When it last carried anything, or when it began to connect if it is not up yet.
     pub active_since: Nanos,
-    /// It may be written to from then on: its rest after the last answer is over.
+    /// The end of its settle delay, before which nothing is written to it.
     pub writable_at: Nanos,
-    /// Commands on it.
+    /// The number of commands on it.
     pub depth: usize,
-    /// For how long its head has been the head; nothing if nothing is written on it.
+    /// How long its head has been the head; `None` if no written command awaits an answer.
     pub head_age: Option<Nanos>,
-    /// What its heads took.
+    /// The head latencies measured on this connection.
     pub latency: &'a LatencyHistogram,
-    /// All on it is of this command's kind.
+    /// All commands on it are of the same kind as the new one.
     pub same_kind: bool,
 }
 
@@ -73,52 +74,53 @@
     }
 }
 
-/// What was measured: of the box, and of all boxes together, which is asked where the box's own is too thin.
+/// The measured latencies of the box and of all boxes together, which are used where the box has too few samples.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyContext<'a> {
-    /// Of this box.
+    /// The latencies of this box.
     pub this_box: &'a BoxLatencies,
-    /// Of all.
+    /// The latencies of all boxes together.
     pub all_boxes: &'a BoxLatencies,
 }
 
 impl<'a> LatencyContext<'a> {
-    /// How much longer something takes that has taken so long, by the box's own history if it says.
+    /// The expected remaining time at this age, by the box's own samples if there are enough.
     fn expected_remaining(
         &self,
-        of: impl Fn(&'a BoxLatencies) -> &'a LatencyHistogram,
+        histogram: impl Fn(&'a BoxLatencies) -> &'a LatencyHistogram,
         age: Nanos,
     ) -> Option<Nanos> {
-        of(self.this_box).expected_remaining(age).or_else(|| of(self.all_boxes).expected_remaining(age))
+        let own = histogram(self.this_box).expected_remaining(age);
+        own.or_else(|| histogram(self.all_boxes).expected_remaining(age))
     }
 }
 
-/// What is to be placed.
+/// A command for which a connection is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest {
-    /// Its kind.
+    /// The kind of the command.
     pub kind: CommandKind,
-    /// When its answer should be there.
+    /// The time by which its answer should arrive.
     pub target_time: Nanos,
-    /// Another connection may be opened.
+    /// Whether another connection may be opened.
     pub may_open: bool,
 }
 
-/// Where it goes.
+/// The connection that was chosen for a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement<K> {
-    /// On this idle connection.
+    /// This idle connection.
     Idle(K),
-    /// On this one, behind what is there.
+    /// This connection, behind the commands on it.
     Pipelined(K),
-    /// On a new one.
+    /// A new connection.
     New,
-    /// Nowhere: nothing has been written, so it may go to another box.
+    /// None. The command has not been written, so it may go to another box.
     Full,
 }
 
 impl<K> Placement<K> {
-    /// The connection that is there already and is to carry it.
+    /// The existing connection that is to carry the command.
     pub fn key(self) -> Option<K> {
         match self {
             Placement::Idle(key) | Placement::Pipelined(key) => Some(key),
@@ -127,94 +129,102 @@
     }
 }
 
-/// Heads that were counted on one connection before its own history is asked instead of its box's.
-const OWN: u16 = 32;
+/// The fewest samples of a connection from which its own latencies are used instead of its box's.
+const MIN_CONNECTION_SAMPLES: u16 = 32;
 
-/// A head of this age has outlasted what heads on its connection are known to take; while that has too few to say, what
-/// its box is known to take, then what all boxes are, and then twice the longest that any box took.
+/// Whether the head of a connection is older than the configured quantile of the head latencies on this connection or,
+/// where these are too few, of its box, then of all boxes; failing these, older than twice the longest of any box.
 ///
-/// Danger: at a proxy that sees a few answers a second of each box, the box's own history says nothing for minutes, and
-/// a box that falls silent meanwhile would be filled to the depth.
+/// Without the latencies of all boxes, a proxy with a few answers a second from each box would have no estimate for
+/// minutes, and a box that falls silent in that time would be filled to the maximum depth.
 pub fn is_stalled(
     age: Nanos,
-    history: &LatencyHistogram,
+    latency: &LatencyHistogram,
     kind: CommandKind,
-    known: LatencyContext<'_>,
-    limits: &PipelineConfig,
+    latencies: LatencyContext<'_>,
+    config: &PipelineConfig,
 ) -> bool {
-    if limits.head_quantile >= 1.0 {
+    if config.head_quantile >= 1.0 {
         return false;
     }
-    let own = Some(history).filter(|h| h.sample_count() >= OWN);
-    let mut sure =
-        own.into_iter().chain([known.this_box.head_latency(kind), known.all_boxes.head_latency(kind)]);
-    let most = sure.find_map(|h| h.quantile(limits.head_quantile));
-    let longest = || known.all_boxes.head_latency(kind).max().map(|longest| 2 * longest);
-    most.or_else(longest).is_some_and(|most| age > most)
+    let own = Some(latency).filter(|h| h.sample_count() >= MIN_CONNECTION_SAMPLES);
+    let of_boxes = [latencies.this_box, latencies.all_boxes].map(|b| b.head_latency(kind));
+    let limit = own.into_iter().chain(of_boxes).find_map(|h| h.quantile(config.head_quantile));
+    let fallback = || latencies.all_boxes.head_latency(kind).max().map(|longest| 2 * longest);
+    limit.or_else(fallback).is_some_and(|limit| age > limit)
 }
 
-/// Until its answer, on this busy connection; nothing where too little is known.
-fn expected<K>(
-    seen: &ConnectionState<'_, K>,
-    ask: &PlacementRequest,
-    known: LatencyContext<'_>,
+/// The expected time until the answer on this busy connection; `None` if too little is measured.
+fn expected_latency<K>(
+    connection: &ConnectionState<'_, K>,
+    request: &PlacementRequest,
+    latencies: LatencyContext<'_>,
     now: Nanos,
 ) -> Option<Nanos> {
-    let own = known.expected_remaining(|t| t.head_latency(ask.kind), 0)?;
-    let gaps = known.expected_remaining(BoxLatencies::answer_gap, 0).unwrap_or(0) * seen.depth as Nanos;
-    if !seen.connected {
-        return Some(
-            known.expected_remaining(BoxLatencies::connect_time, now.saturating_sub(seen.active_since))?
-                + own.max(gaps),
-        );
+    let own = latencies.expected_remaining(|b| b.head_latency(request.kind), 0)?;
+    let gap = latencies.expected_remaining(BoxLatencies::answer_gap, 0).unwrap_or(0);
+    let gaps = gap * connection.depth as Nanos;
+    if !connection.connected {
+        let connecting_for = now.saturating_sub(connection.active_since);
+        let connect = latencies.expected_remaining(BoxLatencies::connect_time, connecting_for)?;
+        return Some(connect + own.max(gaps));
     }
-    // Work is done beside what stands before it; only the answer has to wait.
-    let head = known.expected_remaining(|t| t.head_latency(ask.kind), seen.head_age.unwrap_or(0))?;
+    // The box processes the command while those ahead of it are processed; only its answer has to wait for theirs.
+    let head_age = connection.head_age.unwrap_or(0);
+    let head = latencies.expected_remaining(|b| b.head_latency(request.kind), head_age)?;
     Some(own.max(head + gaps))
 }
 
-/// Chooses the connection for one command. `all` are those that the host could use: not about to close, over an
-/// address that is in use, with nobody called off on them.
+/// The expected time until the answer on a new connection, with the charge for its handshake.
+fn expected_latency_on_new(
+    request: &PlacementRequest,
+    latencies: LatencyContext<'_>,
+    config: &PipelineConfig,
+) -> Option<Nanos> {
+    let connect = latencies.expected_remaining(BoxLatencies::connect_time, 0)?;
+    let own = latencies.expected_remaining(|b| b.head_latency(request.kind), 0)?;
+    Some((connect as f64 * (1.0 + config.handshake_cost)) as Nanos + own)
+}
+
+/// Chooses the connection for a command. `connections` are those that the host can use: not about to close, over an
+/// address in use, and without a cancelled command in flight.
 pub fn choose_connection<'a, K: Copy + 'a>(
-    ask: &PlacementRequest,
-    all: impl Iterator<Item = ConnectionState<'a, K>> + Clone,
-    known: LatencyContext<'_>,
-    limits: &PipelineConfig,
+    request: &PlacementRequest,
+    connections: impl Iterator<Item = ConnectionState<'a, K>> + Clone,
+    latencies: LatencyContext<'_>,
+    config: &PipelineConfig,
     now: Nanos,
 ) -> Placement<K> {
-    // Those too many grow old and close. What has to wait for the end of a rest waits less than a handshake takes, and
-    // costs the box nothing.
-    let idle = all.clone().filter(ConnectionState::is_idle);
-    if let Some(idle) = idle.max_by_key(|s| (Reverse(s.writable_at.max(now)), s.active_since)) {
+    // The most recently used one is preferred, so that excess connections reach their idle timeout and close. Waiting for
+    // the end of a settle delay takes less time than a handshake, and costs the box nothing.
+    let idle = connections.clone().filter(ConnectionState::is_idle);
+    if let Some(idle) = idle.max_by_key(|c| (Reverse(c.writable_at.max(now)), c.active_since)) {
         return Placement::Idle(idle.key);
     }
-    let depth = limits.max_depth[usize::from(ask.kind.write)];
-    let takes = move |s: &ConnectionState<'a, K>| {
-        let stalled = s.head_age.is_some_and(|age| is_stalled(age, s.latency, ask.kind, known, limits));
-        !s.is_idle() && s.depth < depth && (s.same_kind || !limits.separate_kinds) && !stalled
-    };
-    let busy = all.filter(takes);
-    let new = || {
-        let (up, own) = (
-            known.expected_remaining(BoxLatencies::connect_time, 0)?,
-            known.expected_remaining(|t| t.head_latency(ask.kind), 0)?,
-        );
-        Some((up as f64 * (1.0 + limits.handshake_cost)) as Nanos + own)
+    let max_depth = config.max_depth[usize::from(request.kind.write)];
+    let accepts = move |c: &ConnectionState<'a, K>| {
+        let stalled =
+            c.head_age.is_some_and(|age| is_stalled(age, c.latency, request.kind, latencies, config));
+        !c.is_idle() && c.depth < max_depth && (c.same_kind || !config.separate_kinds) && !stalled
     };
-    if let Some(new) = (limits.placement == PlacementPolicy::Expected).then(new).flatten() {
-        let timed = busy.clone().filter_map(|s| Some((expected(&s, ask, known, now)?, s)));
-        let best = timed.min_by_key(|(time, s)| (*time, s.depth));
+    let busy = connections.filter(accepts);
+    let on_new = || expected_latency_on_new(request, latencies, config);
+    if let Some(on_new) = (config.placement == PlacementPolicy::Expected).then(on_new).flatten() {
+        let timed = busy.clone().filter_map(|c| Some((expected_latency(&c, request, latencies, now)?, c)));
+        let best = timed.min_by_key(|(latency, c)| (*latency, c.depth));
         return match best {
-            Some((time, s)) if now + time <= ask.target_time && (!ask.may_open || time <= new) => {
-                Placement::Pipelined(s.key)
+            Some((latency, c))
+                if now + latency <= request.target_time && (!request.may_open || latency <= on_new) =>
+            {
+                Placement::Pipelined(c.key)
             }
-            _ if ask.may_open => Placement::New,
-            // An answer past the aim is worth little, and would make those behind it late as well.
+            _ if request.may_open => Placement::New,
+            // An answer after the target time is worth little, and would delay the answers behind it.
             _ => Placement::Full,
         };
     }
-    if ask.may_open {
+    if request.may_open {
         return Placement::New;
     }
-    busy.min_by_key(|s| s.depth).map_or(Placement::Full, |s| Placement::Pipelined(s.key))
+    busy.min_by_key(|c| c.depth).map_or(Placement::Full, |c| Placement::Pipelined(c.key))
 }
--- a/crates/pipeline/src/queue.rs
+++ b/crates/pipeline/src/queue.rs
@@ -4,266 +4,270 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// What kind of command it is, as far as it matters to those behind it.
+/// The kind of a command, as far as it affects the commands behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CommandKind {
-    /// It writes.
+    /// It is a write.
     pub write: bool,
-    /// It carries a long value.
+    /// It carries a large value.
     pub large_value: bool,
 }
 
-/// A command, as its host keeps it until it is written.
+/// A command, as the host represents it until it is written.
 pub trait Command {
-    /// What the host knows it by.
+    /// Identifies a command to the host.
     type Tag: Copy + PartialEq;
-    /// Its name.
+    /// The tag of this command.
     fn tag(&self) -> Self::Tag;
-    /// Its kind.
+    /// The kind of this command.
     fn kind(&self) -> CommandKind;
 }
 
 /// What is known of a command whose connection has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectOutcome {
-    /// It was never written whole: it has not run, and a repeat is harmless.
+    /// It was not written completely: it has not run, and can safely be sent again.
     NotWritten,
-    /// It was written whole and not answered: it may have run.
+    /// It was written completely and not answered: it may have run.
     Unknown,
 }
 
-/// Where a command was that is called off.
+/// The state that a command was in when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// Not on this connection, or over already.
+    /// It is not on this connection, or was answered or cancelled before.
     NotFound,
-    /// It waited, and is gone without a trace.
+    /// It was queued, and is removed.
     Queued,
-    /// A part of it is written. The connection can't be used any more: the rest must not follow.
+    /// It may be partly written. The connection can no longer be used, since the remainder must not follow.
     PartlyWritten,
-    /// It was written whole. Its answer will be dropped when it comes.
+    /// It was written completely. Its answer is dropped when it comes.
     Written,
 }
 
-/// The answer that has come belongs to this command.
+/// A command whose answer has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedCommand<T> {
-    /// Nothing for one that was called off.
+    /// Its tag; `None` if it was cancelled.
     pub tag: Option<T>,
     /// Its kind.
     pub kind: CommandKind,
-    /// From its last byte to the answer.
+    /// The time from its last byte to the answer.
     pub latency: Nanos,
-    /// The part of that in which it was the first.
+    /// The part of that time in which it was the head.
     pub head_time: Nanos,
-    /// It was written behind others.
+    /// It was written behind other commands.
     pub pipelined: bool,
 }
 
+/// A command that is written and not answered.
 #[derive(Clone, Copy, Debug)]
-struct Sent<T> {
+struct InFlight<T> {
+    /// `None` once it is cancelled.
     tag: Option<T>,
     kind: CommandKind,
-    wrote: Nanos,
-    behind: bool,
+    written_at: Nanos,
+    pipelined: bool,
 }
 
-/// The commands of one connection. Each is in one place, and leaves once.
+/// The commands of one connection. Each command is queued, in the batch or in flight, and leaves exactly once.
 #[derive(Debug)]
 pub struct Pipeline<C: Command> {
-    waiting: VecDeque<C>,
-    /// What is being written, each with where it begins and ends among the bytes of the batch.
+    queued: VecDeque<C>,
+    /// The commands being written, each with the range of its bytes within the batch.
     batch: VecDeque<(C, Range<usize>)>,
-    /// The bytes of the batch, and how many of them are written.
-    bytes: usize,
-    written: usize,
-    sent: VecDeque<Sent<C::Tag>>,
-    /// How many of those sent are not called off.
-    live: usize,
-    /// Since when the first of those sent is the first.
+    batch_bytes: usize,
+    written_bytes: usize,
+    in_flight: VecDeque<InFlight<C::Tag>>,
+    /// How many of the commands in flight are not cancelled.
+    uncancelled_in_flight: usize,
+    /// When the head of the commands in flight became the head.
     head_since: Nanos,
-    history: LatencyHistogram,
+    head_latency: LatencyHistogram,
 }
 
 impl<C: Command> Default for Pipeline<C> {
     fn default() -> Self {
         Pipeline {
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             batch: VecDeque::new(),
-            bytes: 0,
-            written: 0,
-            sent: VecDeque::new(),
-            live: 0,
+            batch_bytes: 0,
+            written_bytes: 0,
+            in_flight: VecDeque::new(),
+            uncancelled_in_flight: 0,
             head_since: 0,
-            history: LatencyHistogram::default(),
+            head_latency: LatencyHistogram::default(),
         }
     }
 }
 
 impl<C: Command> Pipeline<C> {
-    /// Commands on it, those called off counted whose answers are still to come.
+    /// The number of commands, including cancelled ones whose answers are still to come.
     pub fn depth(&self) -> usize {
-        self.waiting.len() + self.batch.len() + self.sent.len()
+        self.queued.len() + self.batch.len() + self.in_flight.len()
     }
 
-    /// Those written whole, those called off counted.
+    /// The number of commands that are written completely and not answered, including cancelled ones.
     pub fn in_flight(&self) -> usize {
-        self.sent.len()
+        self.in_flight.len()
     }
 
-    /// Nobody waits for anything on it.
+    /// Whether every command on it is cancelled, so that no client waits for an answer.
     pub fn has_no_waiters(&self) -> bool {
-        self.waiting.is_empty() && self.batch.is_empty() && self.live == 0
+        self.queued.is_empty() && self.batch.is_empty() && self.uncancelled_in_flight == 0
     }
 
-    /// One that was called off stands among those sent: its answer may never come.
+    /// Whether a command in flight is cancelled. Its answer may never come.
     pub fn has_cancelled_in_flight(&self) -> bool {
-        self.live < self.sent.len()
+        self.uncancelled_in_flight < self.in_flight.len()
     }
 
-    /// Some wait for their turn to be written.
+    /// Whether commands are queued for writing.
     pub fn has_queued(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.queued.is_empty()
     }
 
-    /// A part of a command is written.
+    /// Whether a batch is being written.
     pub fn has_batch(&self) -> bool {
         !self.batch.is_empty()
     }
 
-    /// The command whose answer comes next: nothing there, or nothing but its place if it was called off.
+    /// The tag of the command whose answer comes next: `None` if nothing is in flight, `Some(None)` if that command is
+    /// cancelled.
     pub fn head(&self) -> Option<Option<C::Tag>> {
-        self.sent.front().map(|s| s.tag)
+        self.in_flight.front().map(|c| c.tag)
     }
 
     /// The kind of the command whose answer comes next.
     pub fn head_kind(&self) -> Option<CommandKind> {
-        self.sent.front().map(|s| s.kind)
+        self.in_flight.front().map(|c| c.kind)
     }
 
-    /// For how long the first of those sent has been the first.
+    /// How long the command whose answer comes next has been the head.
     pub fn head_age(&self, now: Nanos) -> Option<Nanos> {
-        (!self.sent.is_empty()).then(|| now.saturating_sub(self.head_since))
+        (!self.in_flight.is_empty()).then(|| now.saturating_sub(self.head_since))
     }
 
-    /// What heads took on this connection.
+    /// The times that commands on this connection were the head until their answers.
     pub fn latency(&self) -> &LatencyHistogram {
-        &self.history
+        &self.head_latency
     }
 
-    /// All commands on it are of one kind with this one.
+    /// Whether all commands on it are of this kind.
     pub fn is_uniform(&self, kind: CommandKind) -> bool {
-        let written = self.sent.iter().map(|s| s.kind);
-        let unwritten = self.batch.iter().map(|(c, _)| c.kind()).chain(self.waiting.iter().map(C::kind));
+        let written = self.in_flight.iter().map(|c| c.kind);
+        let unwritten = self.batch.iter().map(|(c, _)| c.kind()).chain(self.queued.iter().map(C::kind));
         written.chain(unwritten).all(|k| k == kind)
     }
 
-    /// The command was written whole, and is not called off.
+    /// Whether the command is written completely, not answered, and not cancelled.
     pub fn is_written(&self, tag: C::Tag) -> bool {
-        self.sent.iter().any(|s| s.tag == Some(tag))
+        self.in_flight.iter().any(|c| c.tag == Some(tag))
     }
 
-    /// Takes one more, behind all others.
+    /// Queues a command behind all others.
     pub fn push(&mut self, command: C) {
-        self.waiting.push_back(command);
+        self.queued.push_back(command);
     }
 
-    /// The next that is to be written.
+    /// The next command to be written.
     pub fn peek_queued(&self) -> Option<&C> {
-        self.waiting.front()
+        self.queued.front()
     }
 
-    /// The same; it leaves unless [`Pipeline::add_to_batch`] takes it back.
+    /// Removes the next command to be written, for [`Pipeline::add_to_batch`] or to be sent elsewhere.
     pub fn pop_queued(&mut self) -> Option<C> {
-        self.waiting.pop_front()
+        self.queued.pop_front()
     }
 
-    /// All that wait, to be moved elsewhere: no byte of them is written.
+    /// Removes all queued commands, to be sent elsewhere: no byte of them is written.
     pub fn take_queued(&mut self) -> VecDeque<C> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.queued)
     }
 
-    /// Puts a command into the batch that is being written, as so many bytes.
+    /// Appends a command, encoded in this many bytes, to the batch that is being written.
     pub fn add_to_batch(&mut self, command: C, bytes: usize) {
-        let end = self.bytes + bytes;
-        self.batch.push_back((command, self.bytes..end));
-        self.bytes = end;
+        let end = self.batch_bytes + bytes;
+        self.batch.push_back((command, self.batch_bytes..end));
+        self.batch_bytes = end;
     }
 
-    /// The batch's bytes, and how many of them are written.
+    /// The number of bytes in the batch, and how many of them are written.
     pub fn batch_progress(&self) -> (usize, usize) {
-        (self.bytes, self.written)
+        (self.batch_bytes, self.written_bytes)
     }
 
-    /// So many bytes of the batch more are written; each command that is whole by that is told.
-    pub fn record_written(&mut self, bytes: usize, now: Nanos, mut whole: impl FnMut(&C)) {
-        self.written += bytes;
-        while let Some((command, _)) = self.batch.front().filter(|(_, at)| at.end <= self.written) {
-            whole(command);
-            let sent = Sent {
+    /// Records that further bytes of the batch were written, and calls `completed` for each command that these complete.
+    pub fn record_written(&mut self, bytes: usize, now: Nanos, mut completed: impl FnMut(&C)) {
+        self.written_bytes += bytes;
+        while let Some((command, _)) = self.batch.front().filter(|(_, at)| at.end <= self.written_bytes) {
+            completed(command);
+            let command = InFlight {
                 tag: Some(command.tag()),
                 kind: command.kind(),
-                wrote: now,
-                behind: !self.sent.is_empty(),
+                written_at: now,
+                pipelined: !self.in_flight.is_empty(),
             };
-            if self.sent.is_empty() {
+            if self.in_flight.is_empty() {
                 self.head_since = now;
             }
-            self.sent.push_back(sent);
-            self.live += 1;
+            self.in_flight.push_back(command);
+            self.uncancelled_in_flight += 1;
             self.batch.pop_front();
         }
         if self.batch.is_empty() {
-            (self.bytes, self.written) = (0, 0);
+            (self.batch_bytes, self.written_bytes) = (0, 0);
         }
     }
 
-    /// The socket takes no more for now: what is not begun waits again, in its order, and has to be looked at anew.
-    /// Tells how many bytes of the batch are left, written ones counted.
+    /// The socket accepts no more bytes for now: commands of the batch without a written byte are queued again, in their
+    /// order, and have to be checked again before they are written. Returns the size of the remaining batch in bytes,
+    /// written ones included.
     pub fn requeue_unstarted(&mut self) -> usize {
-        let written = self.written;
+        let written = self.written_bytes;
         while let Some((command, _)) = self.batch.pop_back_if(|(_, at)| at.start >= written) {
-            self.waiting.push_front(command);
+            self.queued.push_front(command);
         }
         match self.batch.back() {
-            Some((_, at)) => self.bytes = at.end,
-            None => (self.bytes, self.written) = (0, 0),
+            Some((_, at)) => self.batch_bytes = at.end,
+            None => (self.batch_bytes, self.written_bytes) = (0, 0),
         }
-        self.bytes
+        self.batch_bytes
     }
 
-    /// Calls a command off.
+    /// Cancels a command, and returns the state that it was in.
     pub fn cancel(&mut self, tag: C::Tag) -> CancelOutcome {
-        if let Some(at) = self.waiting.iter().position(|c| c.tag() == tag) {
-            self.waiting.remove(at);
+        if let Some(at) = self.queued.iter().position(|c| c.tag() == tag) {
+            self.queued.remove(at);
             CancelOutcome::Queued
         } else if self.batch.iter().any(|(c, _)| c.tag() == tag) {
             self.batch.retain(|(c, _)| c.tag() != tag);
             CancelOutcome::PartlyWritten
-        } else if let Some(sent) = self.sent.iter_mut().find(|s| s.tag == Some(tag)) {
-            sent.tag = None;
-            self.live -= 1;
+        } else if let Some(command) = self.in_flight.iter_mut().find(|c| c.tag == Some(tag)) {
+            command.tag = None;
+            self.uncancelled_in_flight -= 1;
             CancelOutcome::Written
         } else {
             CancelOutcome::NotFound
         }
     }
 
-    /// An answer has come whole: whose it is. Nothing if nobody asked.
+    /// Removes the head when an answer has arrived completely. `None` if nothing was in flight, which makes the answer
+    /// unsolicited.
     pub fn complete_head(&mut self, now: Nanos) -> Option<CompletedCommand<C::Tag>> {
-        let sent = self.sent.pop_front()?;
-        self.live -= usize::from(sent.tag.is_some());
+        let InFlight { tag, kind, written_at, pipelined } = self.in_flight.pop_front()?;
+        self.uncancelled_in_flight -= usize::from(tag.is_some());
         let head_time = now.saturating_sub(self.head_since);
         self.head_since = now;
-        self.history.record(head_time);
-        let latency = now.saturating_sub(sent.wrote);
-        Some(CompletedCommand { tag: sent.tag, kind: sent.kind, latency, head_time, pipelined: sent.behind })
+        self.head_latency.record(head_time);
+        let latency = now.saturating_sub(written_at);
+        Some(CompletedCommand { tag, kind, latency, head_time, pipelined })
     }
 
-    /// The connection has ended: what is known of each command that somebody waits for, in their order.
+    /// The connection has ended: the outcome of each command that is not cancelled, in their order.
     pub fn into_outcomes(self) -> impl Iterator<Item = (C::Tag, DisconnectOutcome)> {
-        let written = self.sent.into_iter().filter_map(|s| Some((s.tag?, DisconnectOutcome::Unknown)));
-        let unwritten = self.batch.into_iter().map(|(c, _)| c).chain(self.waiting);
+        let written = self.in_flight.into_iter().filter_map(|c| Some((c.tag?, DisconnectOutcome::Unknown)));
+        let unwritten = self.batch.into_iter().map(|(c, _)| c).chain(self.queued);
         written.chain(unwritten.map(|c| (c.tag(), DisconnectOutcome::NotWritten)))
     }
 }
