--- a/crates/calicosaddle/src/api.rs
+++ b/crates/calicosaddle/src/api.rs
@@ -1,15 +1,15 @@
-//! Types between a proxy and the decision module: settings handed over at start, events in, actions out.
+//! Types between a proxy and the balancer: settings at start, events in, actions out.
 //!
-//! All times are nanoseconds. The caller owns clock, sockets and timers; [`crate::Balancer`] owns none of them.
+//! All times are in nanoseconds. The caller owns clock, sockets and timers; [`crate::Balancer`] owns none of them.
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 /// Stable identity of a server: the same value at every proxy (see [`server_id`]).
 pub type ServerId = u64;
 /// Identity of a request at this proxy; below 2^52, never used twice.
 pub type RequestId = u64;
 
-/// Derives the identity of a server from its name (FNV-1a, then mixed), so that all proxies agree on it.
+/// Derives the identity of a server from its name, so that all proxies agree on it (FNV-1a, then mixed).
 pub fn server_id(name: &str) -> ServerId {
     let h = name
         .bytes()
@@ -18,13 +18,13 @@
     h ^ (h >> 32)
 }
 
-/// May a request of a class run again?
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Repeats do no harm.
+    /// Idempotent: repeats do no harm.
     #[default]
     Safe,
-    /// Servers of the class's group drop repeats within its window.
+    /// Carries an idempotency key: servers in the class's deduplication scope drop repeats within its window.
     Keyed,
     /// Must never run twice.
     Unsafe,
@@ -45,53 +45,54 @@
 /// A request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Full worth is earned up to here.
+    /// An answer within this time has its full value.
     pub latency_target: Nanos,
-    /// The client gives up here, counted over all its tries.
+    /// The client stops waiting after this time, counted over all its tries.
     pub deadline: Nanos,
-    /// Whether it may run again.
+    /// Whether a request may run again.
     pub retry_safety: RetrySafety,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: which servers drop repeats.
     pub dedup_scope: DedupScope,
     /// For keyed classes: for how long repeats are dropped.
     pub dedup_window: Nanos,
-    /// Part of the worth that a late answer earns.
+    /// Fraction of the value that an answer after the latency target has.
     pub late_value: f64,
-    /// Worth of a request (or of a unit of its work).
+    /// Value of a request, or of a unit of its work.
     pub value: f64,
     /// The answer is streamed.
     pub stream: bool,
 }
 
-/// A tenant's share.
+/// Quota of a tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Requests a second in its share, over all proxies.
+    /// Requests per second over all proxies.
     pub quota_rps: f64,
 }
 
-/// What the proxy is told at start.
+/// Settings of a proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// This proxy's zone.
+    /// Zone of this proxy.
     pub zone: u32,
-    /// How many proxies there are.
+    /// Number of proxies.
     pub proxy_count: u32,
-    /// This proxy's number.
+    /// Index of this proxy.
     pub proxy_index: u32,
-    /// The list of servers must be asked for (else it is pushed).
+    /// The server list must be polled; otherwise it is pushed.
     pub poll_discovery: bool,
-    /// A miss is answered as such and the origin, a kind of its own, is asked by the proxy.
+    /// Cache nodes answer a miss as such, and the proxy asks the origin, which is listed as servers of a machine kind
+    /// of its own.
     pub cache_aside: bool,
-    /// The machine kind of the origin where `cache_aside`.
+    /// Machine kind of the origin with `cache_aside`.
     pub origin_kind: Option<u32>,
-    /// Worth of a request over its tenant's share, as a part of its class's.
+    /// Value of a request over its tenant's quota, as a fraction of the value of its class.
     pub over_quota_value: f64,
-    /// Worth counts by work (else by request).
+    /// Values are per unit of work; otherwise per request.
     pub value_per_work: bool,
     /// Most attempts for a request (0: one).
     pub max_attempts: u32,
@@ -99,15 +100,15 @@
     pub allow_cancel: bool,
     /// Servers may be probed.
     pub allow_probe: bool,
-    /// Two attempts of a request may be out at once.
+    /// A request may have two attempts in flight.
     pub hedging: bool,
-    /// Refusals may advise a wait, at most this long (0: no advice).
+    /// Longest wait that a rejection may advise (0: no advice).
     pub max_retry_after: Nanos,
-    /// A connection that takes longer is refused.
+    /// Time-out of a connection attempt.
     pub connect_timeout: Nanos,
-    /// Price of work that served no answer.
+    /// Price of work that produced no answer for a client.
     pub waste_price: f64,
-    /// Price of an attempt crossing zones.
+    /// Price of an attempt in another zone.
     pub cross_zone_price: f64,
     /// Price of a probe.
     pub probe_price: f64,
@@ -115,23 +116,23 @@
     pub connection_price: f64,
     /// Price of new connections: one for each request.
     pub handshake_price: f64,
-    /// Part of its capacity that a server starts with.
+    /// Fraction of its capacity that a server has when it starts.
     pub slow_start_initial_fraction: f64,
-    /// A server is warm after this long.
+    /// Time until a started server has its whole capacity.
     pub slow_start_duration: Nanos,
-    /// A cold server falls when sent more than this multiple of its capacity.
+    /// A server in slow start is overloaded when it gets more than this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// For this long.
+    /// The time for which a server must get that much.
     pub overload_duration: Nanos,
-    /// The origin stops when sent this multiple of its capacity (0: no such limit).
+    /// The origin is overloaded when it gets this multiple of its capacity (0: no such limit).
     pub origin_overload_multiple: f64,
-    /// For this long.
+    /// The time for which the origin must get that much.
     pub origin_overload_duration: Nanos,
-    /// Nothing new goes to a draining server after this long.
+    /// No new requests go to a draining server after this time.
     pub drain_grace: Nanos,
-    /// Without a subscription the list must be asked for within this time.
+    /// Without a subscription, the server list must be polled within this time.
     pub discovery_poll_interval: Nanos,
-    /// The columns of load reports.
+    /// Columns of load reports.
     pub load_report_columns: Vec<LoadColumn>,
 }
 
@@ -140,11 +141,11 @@
 pub enum LoadColumn {
     /// Requests waiting.
     Queue,
-    /// Requests held.
+    /// Requests waiting or being served.
     Inflight,
     /// Recent service time in milliseconds, without waiting.
     LatencyMs,
-    /// Busy part of the cores.
+    /// Fraction of the cores in use.
     Util,
     /// Anything else.
     Other,
@@ -153,19 +154,19 @@
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes work.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes its work; nothing new may be sent.
+    /// Finishes its work; gets no new requests.
     Draining,
-    /// Removed.
+    /// No longer a member.
     Removed,
 }
 
-/// An entry of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// Identity of the server.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
@@ -175,20 +176,20 @@
     pub cell: u32,
     /// Its state.
     pub state: ServerState,
-    /// Size relative to others.
+    /// Its size relative to other servers.
     pub weight: f64,
     /// Time of its last start; 0: long ago.
     pub started_at: Nanos,
 }
 
-/// What a list event carries.
+/// What a server list event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as it was known last; may be old.
+    /// The whole list as it was last received; may be old.
     Cached,
     /// A call failed or the subscription broke; the old list stays.
     Failed,
@@ -201,34 +202,35 @@
     Ok,
     /// The server returned an error; it may have run.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected by the server before it began; never ran.
     Rejected,
-    /// No answer in time; it may run.
+    /// No answer in time; it may have run.
     Timeout,
     /// No connection; never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// The answer came and can't be read; it may have run.
+    /// The answer could not be parsed; it may have run.
     Malformed,
-    /// Called off; it may have run.
+    /// Cancelled by this proxy; it may have run.
     Cancelled,
     /// Not sent; never ran.
     NotSent,
-    /// No value for the key (aside); never ran.
+    /// No value for the key (cache-aside); never ran.
     Miss,
 }
 
 impl Status {
-    /// True if the outcome says something of the server.
+    /// Reports whether the outcome says something about the server.
     pub fn reflects_server(self) -> bool {
         !matches!(self, Status::Cancelled | Status::NotSent)
     }
 
-    /// What an attempt is called for which there was no connection.
+    /// Returns the status of an attempt for which there was no free connection. `connected` says whether this proxy
+    /// has connections to the server.
     ///
-    /// Danger: where this proxy has connections to the server, that all of them are in use is no fault of the server's.
-    /// Told as such, the server, and with a few of them its zone, would be left alone for as long as one that is down.
+    /// That all of them are in use is no fault of the server. If it counted as a failed connection, the server, and
+    /// after a few of these its zone, would be ejected for as long as one that is down.
     pub fn without_connection(connected: bool) -> Status {
         if connected {
             Status::NotSent
@@ -237,7 +239,7 @@
         }
     }
 
-    /// True if this outcome proves that the attempt never ran.
+    /// Reports whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss)
     }
@@ -254,11 +256,11 @@
     pub tenant: Option<u32>,
     /// The key, hashed or raw.
     pub key: Option<u64>,
-    /// Time left before the client gives up this try.
+    /// Time left until the client stops waiting for this try.
     pub remaining: Nanos,
     /// Expected work, where known.
     pub expected_work: Option<Nanos>,
-    /// Client's repeat, where marked.
+    /// The client marked it as a retry.
     pub is_retry: bool,
     /// It writes.
     pub write: bool,
@@ -267,19 +269,19 @@
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Request.
+    /// Identity of the request.
     pub id: RequestId,
-    /// Attempt number, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub status: Status,
     /// Time from the send.
     pub elapsed: Nanos,
-    /// The request is over.
+    /// The client has its final answer.
     pub request_complete: bool,
-    /// Hit or miss, where told.
+    /// Hit or miss, if the server said so.
     pub hit: Option<bool>,
     /// Load report, in the order of [`Settings::load_report_columns`].
     pub load_report: Vec<f64>,
@@ -288,18 +290,18 @@
 /// What happens at the proxy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the servers.
+    /// A server list was received, or receiving it failed.
     ServerList {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// These servers are to get nothing new, whatever lists say of them: all that operators withdrew, also those
-    /// that no list names yet.
+    /// All servers that operators drained, also those that no list names yet. They get no new requests, whatever
+    /// lists say about them.
     OperatorDrained(Vec<ServerId>),
-    /// Other settings hold from now on. The classes are the same by number, name and effect, and the zone, this
-    /// proxy's number and the place of the origin stay.
+    /// New settings. Number, names and retry safety of the classes, the zone, the index of this proxy and the place of
+    /// the origin must be unchanged.
     Settings(Box<Settings>),
     /// A request arrived.
     Arrival(Request),
@@ -307,7 +309,7 @@
     Outcome(Outcome),
     /// A probe ended.
     Probed {
-        /// Server.
+        /// Identity of the server.
         server: ServerId,
         /// How it ended.
         status: Status,
@@ -316,56 +318,56 @@
         /// Load report.
         load_report: Vec<f64>,
     },
-    /// A timer ran out.
+    /// A timer ran out; carries its token.
     Timer(u64),
-    /// The client left; nothing more is owed.
+    /// The client closed its connection or its time ran out; the request needs no answer.
     Abandoned(RequestId),
     /// A streamed answer began.
     StreamStarted(RequestId),
 }
 
-/// What the proxy is to do, in order.
+/// What the proxy must do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; `timeout` 0 means until the client stops waiting.
+    /// Start an attempt.
     Send {
-        /// Request.
+        /// Identity of the request.
         id: RequestId,
-        /// Server.
+        /// Identity of the server.
         server: ServerId,
-        /// Time-out.
+        /// Time-out; 0: until the client stops waiting.
         timeout: Nanos,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// Request.
+        /// Identity of the request.
         id: RequestId,
-        /// Attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: not done, a repeat is harmless.
+    /// Reject the request as its final answer: a repeat is harmless.
     Refuse {
-        /// Request.
+        /// Identity of the request.
         id: RequestId,
         /// Advised wait; 0: none.
         retry_after: Nanos,
     },
-    /// Final answer: failed, nothing promised.
+    /// Fail the request as its final answer: it may or may not have run.
     Fail {
-        /// Request.
+        /// Identity of the request.
         id: RequestId,
     },
-    /// Wake me.
+    /// Start a timer.
     Timer {
-        /// Token to hand back.
+        /// Token of the event when it runs out.
         token: u64,
-        /// From now.
+        /// Time until it runs out.
         delay: Nanos,
     },
-    /// Test a server.
+    /// Probe a server.
     Probe(ServerId),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
-    /// Follow the list. The module never asks for it: crate `freshness` does, beside it.
+    /// Follow the server list. The balancer never asks for it: crate `freshness` does.
     Subscribe,
 }
--- /dev/null
+++ b/crates/calicosaddle/src/balancer/admission.rs
@@ -0,0 +1,101 @@
+//! Admission control: the fraction of requests that is sent at all, by class of traffic.
+
+use super::request::OpenRequest;
+use super::{Balancer, MS, SECOND};
+use crate::api::*;
+
+/// Time constant of the sums of recent results, in seconds.
+pub(super) const ADMISSION_MEMORY_S: f64 = 2.0;
+/// Ratio of requests served in time below which less is admitted: for requests that are not likely hits, and for
+/// those that are.
+const MIN_IN_TIME_RATIO: [f64; 2] = [0.78, 0.55];
+/// More is admitted again once the ratio exceeds the lower bound by this much.
+const RECOVERY_MARGIN: f64 = 0.15;
+/// Interval at which the admitted fractions are updated.
+const UPDATE_INTERVAL: Nanos = 250 * MS;
+/// Least admitted fraction.
+const MIN_ADMITTED_FRACTION: f64 = 0.03;
+
+/// Admission of one kind of traffic: likely hits, or all other requests.
+#[derive(Clone, Copy, Default)]
+pub(super) struct AdmissionControl {
+    /// Decaying sums over the requests that were sent: how many ended, and how many of them in time (by value).
+    ended: f64,
+    in_time: f64,
+    pub(super) admitted_fraction: f64,
+    /// The fraction above which the last increase failed.
+    ceiling: f64,
+    /// When the fraction was last cut.
+    cut_at: Nanos,
+}
+
+impl AdmissionControl {
+    /// Admits everything.
+    pub(super) fn open() -> Self {
+        AdmissionControl { admitted_fraction: 1.0, ceiling: 1.0, ..AdmissionControl::default() }
+    }
+}
+
+impl Balancer {
+    /// Moves the admitted fractions by how many of the admitted requests were served in time.
+    ///
+    /// Servers that go on with work no client waits for stay overloaded by retries permanently, unless proxies send
+    /// less than they are asked for. Rejected requests don't count, or rejecting would cause more of it.
+    fn update_admission(&mut self, now: Nanos) {
+        let elapsed = now.saturating_sub(self.admission_updated_at);
+        if elapsed < UPDATE_INTERVAL {
+            return;
+        }
+        self.admission_updated_at = now;
+        let keep = (-(elapsed as f64) / (ADMISSION_MEMORY_S * SECOND as f64)).exp();
+        self.recent_successes *= keep;
+        for (control, min_ratio) in self.admission.iter_mut().zip(MIN_IN_TIME_RATIO) {
+            let ratio = (control.in_time + 2.0) / (control.ended + 2.0);
+            if ratio < min_ratio {
+                // Cut once, then judge only what was sent since the cut. If the fraction were cut further while old
+                // failures come in, and then raised to the full, all proxies together would swing between a flood
+                // and nothing.
+                if control.admitted_fraction > 0.9 * control.ceiling {
+                    control.ceiling = 0.85 * control.admitted_fraction;
+                }
+                control.admitted_fraction = (0.5 * control.admitted_fraction).max(MIN_ADMITTED_FRACTION);
+                (control.cut_at, control.ended, control.in_time) = (now, 0.0, 0.0);
+            } else if ratio > min_ratio + RECOVERY_MARGIN {
+                let quick = (1.2 * control.admitted_fraction + 0.01).min(control.ceiling);
+                control.admitted_fraction = quick.max(control.admitted_fraction + 0.005).min(1.0);
+                control.ceiling = control.ceiling.max(control.admitted_fraction);
+            }
+            (control.ended, control.in_time) = (control.ended * keep, control.in_time * keep);
+        }
+    }
+
+    /// Records the end of a request, with the value of its answer (0 without one).
+    pub(super) fn record_request_end(&mut self, open: &OpenRequest, value: f64) {
+        let control = &mut self.admission[usize::from(open.likely_hit)];
+        // A request without an answer counts only if a server was silent: requests that are rejected at once while
+        // the origin is down or queues are short would pass for an overload.
+        let silent = open.attempts.iter().any(|a| a.pending || a.timed_out);
+        if open.counts_for_admission && (value > 0.0 || silent) && open.arrived_at >= control.cut_at {
+            control.ended += 1.0;
+            control.in_time += value;
+        }
+    }
+
+    /// Returns the probability with which a request of a class is rejected unsent: the less value its class has for
+    /// its work, the higher.
+    pub(super) fn rejection_probability(&mut self, now: Nanos, class: usize, likely_hit: bool) -> f64 {
+        self.update_admission(now);
+        let admitted = self.admission[usize::from(likely_hit)].admitted_fraction;
+        if admitted >= 1.0 {
+            return 0.0;
+        }
+        let density = |c: usize, k: &Class| {
+            let work = if self.settings.value_per_work { 1.0 } else { self.stats_of(c).mean.max(1.0) };
+            k.value.max(1e-9) / work
+        };
+        let all = self.settings.classes.iter().enumerate().map(|(c, k)| density(c, k));
+        let mean = all.sum::<f64>() / self.settings.classes.len().max(1) as f64;
+        let own = self.settings.classes.get(class).map_or(mean, |k| density(class, k));
+        (1.0 - admitted).powf((own / mean).clamp(0.25, 4.0))
+    }
+}
--- /dev/null
+++ b/crates/calicosaddle/src/balancer/arrival.rs
@@ -0,0 +1,102 @@
+//! Arriving requests: admission, the first attempt, or a rejection.
+
+use super::affinity::{Bucket, BUCKET_COUNT};
+use super::attempts::MAX_RETRY_BUDGET;
+use super::hash::mix;
+use super::request::OpenRequest;
+use super::Balancer;
+use crate::api::*;
+
+/// Retries and hedges earned by each request.
+const RETRY_BUDGET_PER_REQUEST: f64 = 0.1;
+
+impl Balancer {
+    /// Handles a request that arrived.
+    pub(super) fn handle_arrival(&mut self, now: Nanos, r: Request, actions: &mut Vec<Action>) {
+        self.count_request(now);
+        self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(MAX_RETRY_BUDGET);
+        let class = self.settings.classes.get(r.class as usize).cloned().unwrap_or_default();
+        let (target, work_scale) = self.target_and_work_scale(&r, &class);
+        // A client that gives a request less time than the target of its class runs out of it with healthy servers
+        // too, so such requests don't count for admission control. Neither do late retries: a request that arrives
+        // after its target can't be served in time, and says nothing about the servers. The cost: if no request has
+        // that time, nothing is ever rejected.
+        let has_time = r.remaining >= class.latency_target / 4 * 3;
+        let hopeless =
+            class.late_value <= 0.0 && (target as f64) < 0.5 * self.stats_of(r.class as usize).mean;
+        let bucket = r.key.map(|k| (mix(k) % BUCKET_COUNT) as u32);
+        let open = OpenRequest {
+            class: r.class as usize,
+            bucket,
+            write: r.write,
+            work_scale,
+            target_at: now + target,
+            deadline: now + r.remaining,
+            streaming: false,
+            counts_for_admission: has_time && !hopeless,
+            likely_hit: self.is_likely_hit(bucket, r.write),
+            arrived_at: now,
+            attempts: Vec::new(),
+        };
+        let rejection = self.rejection_probability(now, open.class, open.likely_hit);
+        if rejection > 0.0 && (self.random_unit() < rejection || hopeless) {
+            self.open_requests.insert(r.id, open);
+            self.reject_or_fail(r.id, actions);
+            return;
+        }
+        let mut spread = 1;
+        if let Some(b) = bucket {
+            self.rank_servers(b);
+            spread = self.count_bucket_request(now, b);
+        }
+        let server = if self.settings.cache_aside && r.write {
+            self.choose_origin(now, &open)
+        } else {
+            self.choose_server(now, &open, spread)
+        };
+        self.open_requests.insert(r.id, open);
+        match server {
+            Some(i) if r.remaining > 0 => self.send_attempt(now, r.id, i, actions),
+            _ => self.reject_or_fail(r.id, actions),
+        }
+    }
+
+    /// Returns the time until the latency target of a request and its work relative to its class.
+    fn target_and_work_scale(&mut self, r: &Request, class: &Class) -> (Nanos, f64) {
+        let mut target = class.latency_target.min(r.remaining);
+        let mut work_scale = 1.0;
+        if let Some(stats) = self.class_stats.get_mut(r.class as usize) {
+            if let Some(work) = r.expected_work.filter(|w| *w > 0) {
+                let gain = if stats.mean_expected_work > 0.0 { 0.03 } else { 1.0 };
+                stats.mean_expected_work += gain * (work as f64 - stats.mean_expected_work);
+                work_scale = (work as f64 / stats.mean_expected_work).clamp(1.0, 10.0);
+            }
+            // Most requests are first ones of their client and arrive with the same time left. Any other time shows
+            // a retry, and when the client began.
+            let common = stats.common_remaining.abs_diff(r.remaining) < class.deadline / 40;
+            if common {
+                stats.common_votes = (stats.common_votes + 1).min(50);
+            } else if stats.common_votes == 0 {
+                stats.common_remaining = r.remaining;
+            } else {
+                stats.common_votes -= 1;
+                let elapsed = class.deadline.saturating_sub(r.remaining);
+                target = target.min(class.latency_target.saturating_sub(elapsed));
+            }
+        }
+        (target, work_scale)
+    }
+
+    /// Reports whether a request is expected to be a hit. Likely hits have an admission control of their own: if
+    /// misses overload the origin, hits still succeed, and would hide the overload or be rejected with the misses.
+    fn is_likely_hit(&self, bucket: Option<u32>, write: bool) -> bool {
+        let hit_recently = |b: &Bucket| b.pin.is_some() || b.windows.iter().any(|w| w.outcomes & 1 == 1);
+        let likely = bucket.and_then(|b| self.buckets.get(&b)).is_some_and(hit_recently);
+        // If the proxy itself asks the origin, a read counts as a hit until it has missed.
+        if self.settings.cache_aside {
+            !write
+        } else {
+            likely
+        }
+    }
+}
--- /dev/null
+++ b/crates/calicosaddle/src/balancer/outcome.rs
@@ -0,0 +1,208 @@
+//! Outcomes of attempts: what they teach about servers, and what happens next to the request.
+
+use super::attempts::{MIN_ANSWERS, ORIGIN_ERROR_RATIO, OVERDUE_DEVIATIONS};
+use super::latency::ClassStats;
+use super::Balancer;
+use crate::api::*;
+
+/// Mean deviations above the mean answer time up to which an answer is about as quick as usual.
+const USUAL_DEVIATIONS: f64 = 2.0;
+/// Weight of an outcome in the moving ratios of refused connections, and of rejected attempts and errors.
+const CONNECT_FAILED_GAIN: f64 = 0.02;
+const OUTCOME_GAIN: f64 = 0.05;
+/// What a retry takes from the budget after an attempt that cost the servers no work.
+const CHEAP_RETRY_COST: f64 = 0.1;
+
+/// An outcome with what the balancer knew when it came.
+struct Measured {
+    server: ServerId,
+    status: Status,
+    hit: Option<bool>,
+    /// Time from the send, scaled down to the usual work of the class.
+    elapsed: Nanos,
+    class: Option<usize>,
+    latency_target: Nanos,
+    /// Statistics of the class before this outcome.
+    usual: ClassStats,
+    /// The server is a cache node, or unknown; not the origin.
+    from_cache: bool,
+}
+
+impl Balancer {
+    /// Handles the end of an attempt.
+    pub(super) fn handle_outcome(&mut self, now: Nanos, o: &Outcome, actions: &mut Vec<Action>) {
+        self.release_attempt(now, o, actions);
+        let m = self.measure(o);
+        self.record_server_latency(&m);
+        self.record_server_health(now, &m);
+        self.record_class_time(&m);
+        self.record_ratios(&m);
+        let Some(open) = self.open_requests.get_mut(&o.id) else { return };
+        if let Some(a) = open.attempts.get_mut(o.attempt as usize) {
+            a.pending = false;
+            a.timed_out = o.status == Status::Timeout;
+            a.broken = matches!(o.status, Status::Reset | Status::Malformed);
+            a.may_have_run = !o.status.never_ran();
+        }
+        let streaming = open.streaming;
+        if let (Some(b), false, true) = (open.bucket, open.write, m.from_cache && o.status.reflects_server())
+        {
+            // If the server does not say whether it was a hit, an answer about as quick as usual counts as one.
+            let quick = (m.elapsed as f64) < m.usual.mean + USUAL_DEVIATIONS * m.usual.deviation.max(1.0);
+            self.record_hit(b, m.server, o.status == Status::Ok && o.hit.unwrap_or(quick));
+        }
+        if o.request_complete {
+            self.complete_request(now, o, actions);
+            return;
+        }
+        let Some(open) = self.open_requests.get(&o.id) else { return };
+        if streaming || open.attempts.iter().any(|a| a.pending) {
+            return;
+        }
+        self.continue_request(now, o, m.from_cache, actions);
+    }
+
+    /// Frees the place of an attempt at its server and adapts the server's concurrency limit.
+    fn release_attempt(&mut self, now: Nanos, o: &Outcome, actions: &mut Vec<Action>) {
+        let server = o.server;
+        if let Some(&i) = self.index_by_id.get(&server) {
+            let s = &mut self.servers[i as usize];
+            match o.status {
+                Status::Rejected => s.decrease_concurrency_limit(),
+                Status::Ok => s.increase_concurrency_limit(),
+                // An attempt that was not sent used none of what a recovering server can bear.
+                Status::NotSent => s.slow_start_tokens += 1.0,
+                _ => {}
+            }
+            let held = s.inflight.min(1.0);
+            s.inflight -= held;
+            self.total_inflight -= held;
+            if s.inflight < 1.0 && self.should_close_idle(now, i) {
+                actions.push(Action::CloseIdle(server));
+            }
+        }
+    }
+
+    fn measure(&self, o: &Outcome) -> Measured {
+        let Outcome { id, server, status, elapsed, hit, .. } = *o;
+        // The origin is slow for all requests alike: its times are no measure for a cache node, and its silence is
+        // none for a zone.
+        let from_cache =
+            self.index_by_id.get(&server).is_none_or(|&i| !self.is_origin(&self.servers[i as usize]));
+        let class = self.open_requests.get(&id).map(|o| o.class);
+        // Scaled by its work, since a heavy request that takes its time would pass for a silent server.
+        let elapsed = (elapsed as f64 / self.open_requests.get(&id).map_or(1.0, |o| o.work_scale)) as Nanos;
+        let usual = class.map(|c| self.stats_of(c)).unwrap_or_default();
+        let latency_target = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.latency_target);
+        Measured { server, status, hit, elapsed, class, latency_target, usual, from_cache }
+    }
+
+    /// Updates latency score and mean hit latency of a server. Misses don't count: their time is the origin's.
+    fn record_server_latency(&mut self, m: &Measured) {
+        if let (Some(&i), true, true) = (self.index_by_id.get(&m.server), m.from_cache, m.latency_target > 0)
+        {
+            let ratio = (m.elapsed as f64 / m.latency_target as f64).min(1.5);
+            match m.status {
+                Status::Ok if m.hit != Some(false) => {
+                    self.record_latency_score(i, ratio * ratio);
+                    let s = &mut self.servers[i as usize];
+                    let gain = if s.mean_hit_latency > 0.0 { 0.1 } else { 1.0 };
+                    s.mean_hit_latency += gain * (m.elapsed as f64 - s.mean_hit_latency);
+                }
+                Status::Rejected => self.record_latency_score(i, 1.0),
+                _ => {}
+            }
+        }
+    }
+
+    /// Records what the outcome says about the health of the server.
+    fn record_server_health(&mut self, now: Nanos, m: &Measured) {
+        let (server, elapsed, usual) = (m.server, m.elapsed, &m.usual);
+        let overdue = usual.answers > MIN_ANSWERS
+            && elapsed as f64
+                > (usual.mean + OVERDUE_DEVIATIONS * usual.deviation).max(0.5 * m.latency_target as f64)
+            && m.hit != Some(false);
+        match m.status {
+            _ if !m.from_cache => {}
+            // An answer that came far too late shows that work is stuck at the server.
+            Status::Ok if overdue => self.record_failure(now, server, 1),
+            // A silent server also rejects what it has no room for, so a rejection doesn't clear failures.
+            Status::Rejected => {}
+            Status::Ok | Status::Error | Status::Miss => self.clear_failures(server),
+            Status::ConnectFailed => self.record_failure(now, server, 2),
+            Status::Reset | Status::Malformed => self.record_broken(now, server),
+            Status::Timeout
+                if usual.answers > MIN_ANSWERS
+                    && (elapsed as f64) < usual.mean + USUAL_DEVIATIONS * usual.deviation => {}
+            Status::Timeout => self.record_failure(now, server, 1),
+            Status::Cancelled | Status::NotSent => {}
+        }
+    }
+
+    /// Updates the statistics of the class with the time of an answer.
+    fn record_class_time(&mut self, m: &Measured) {
+        let stats = m.class.and_then(|c| self.class_stats.get_mut(c));
+        if let (Status::Ok, true, Some(stats)) = (m.status, m.from_cache, stats) {
+            stats.answers += 1.0;
+            let gain = (1.0 / stats.answers).max(0.03);
+            let difference = m.elapsed as f64 - stats.mean;
+            stats.mean += gain * difference;
+            stats.deviation += gain * (difference.abs() - stats.deviation);
+        }
+    }
+
+    /// Updates the moving ratios of outcomes and the count of successes.
+    fn record_ratios(&mut self, m: &Measured) {
+        let is = |status: Status| f64::from(u8::from(m.status == status));
+        if m.from_cache && m.status.reflects_server() {
+            self.connect_failed_ratio +=
+                CONNECT_FAILED_GAIN * (is(Status::ConnectFailed) - self.connect_failed_ratio);
+            self.rejected_ratio += OUTCOME_GAIN * (is(Status::Rejected) - self.rejected_ratio);
+            self.error_ratio += OUTCOME_GAIN * (is(Status::Error) - self.error_ratio);
+        }
+        self.recent_successes += is(Status::Ok);
+    }
+
+    /// Closes a request whose final answer the client got; cancels attempts that are still pending.
+    fn complete_request(&mut self, now: Nanos, o: &Outcome, actions: &mut Vec<Action>) {
+        let id = o.id;
+        if let Some(open) = self.open_requests.remove(&id) {
+            let late_value = self.settings.classes.get(open.class).map_or(0.0, |c| c.late_value);
+            let value = if now <= open.target_at { 1.0 } else { late_value };
+            self.record_request_end(&open, if o.status == Status::Ok { value } else { 0.0 });
+            let pending =
+                (0u32..).zip(&open.attempts).filter(|(_, a)| a.pending && self.settings.allow_cancel);
+            actions.extend(pending.map(|(attempt, _)| Action::Cancel { id, attempt }));
+        }
+    }
+
+    /// Decides what happens to a request without a pending attempt: a fetch from the origin, a retry, or the final
+    /// answer.
+    fn continue_request(&mut self, now: Nanos, o: &Outcome, from_cache: bool, actions: &mut Vec<Action>) {
+        let (id, status) = (o.id, o.status);
+        if status == Status::Miss && self.settings.cache_aside {
+            self.fetch_from_origin(now, id, actions);
+            return;
+        }
+        // If the origin fails already, a retry of a failed fetch at another server is one more fetch for it.
+        let origin_fails = status == Status::Error && self.error_ratio > ORIGIN_ERROR_RATIO;
+        // If proxies fetch, a retry elsewhere after a rejection is a miss and one more fetch.
+        let overloaded = status == Status::Rejected
+            && self.settings.cache_aside
+            && self.rejected_ratio > 2.0 * ORIGIN_ERROR_RATIO;
+        if origin_fails || overloaded || !from_cache {
+            self.reject_or_fail(id, actions);
+            return;
+        }
+        // Attempts that were not sent or found no connection cost the servers no work, and the work of a broken
+        // connection ends with it. At full cost, a rollout that removes servers before the list says so, or
+        // connections that break at random, would use up the budget: requests that the next server could serve would
+        // be rejected, and that would pass for an overload.
+        let cheap =
+            matches!(status, Status::NotSent | Status::ConnectFailed | Status::Reset | Status::Malformed);
+        let cost = if cheap { CHEAP_RETRY_COST } else { 1.0 };
+        if !self.retry(now, id, cost, actions) {
+            self.reject_or_fail(id, actions);
+        }
+    }
+}
--- a/crates/calicosaddle/src/lib.rs
+++ b/crates/calicosaddle/src/lib.rs
@@ -1,5 +1,5 @@
-//! calicosaddle decides, for a proxy that spreads keys over cache servers before a slow origin, which server
-//! gets each request. [`balancer`] holds every decision, [`api`] its types.
+//! calicosaddle decides, for a proxy that spreads keys over cache servers in front of a slow origin, which server
+//! gets each request. [`balancer`] holds the decisions, [`api`] its types.
 
 pub mod api;
 pub mod balancer;
