--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -10,10 +10,10 @@
 mod socket;
 mod write;
 
-use crate::places::Places;
+use crate::descriptors::Places;
+use crate::event_loop::Source;
 use crate::platform::config::Config;
 use crate::platform::discovery::{Names, News as List};
-use crate::turn::Source;
 use addresses::{Address, Id, Race};
 use calicosaddle::api::{Nanos, RequestId, ServerId, State, Status};
 use connection::Connection;
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -3,11 +3,11 @@
 
 use super::admin::Call;
 use super::control::{interval, needs_life};
-use crate::copies::Copies;
-use crate::figures::Now;
-use crate::path::Gates;
+use crate::event_loop::Source;
+use crate::metrics::Now;
+use crate::observers::Gates;
 use crate::platform::config::Config;
-use crate::turn::Source;
+use crate::shadow_traffic::Copies;
 use crate::{Proxy, MS};
 use ::control::message::{
     Answer, Body, Code, Error, Known, List, Page, Phase, Reconfigured, Status, MAX_PAGE,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -5,41 +5,41 @@
 //! no room for and the module has never seen.
 
 mod boxes;
-mod copies;
-mod figures;
+mod descriptors;
+mod event_loop;
 mod front;
-mod life;
-mod passing;
-mod path;
-mod places;
+mod lifecycle;
+mod metrics;
+mod observers;
 mod platform;
 mod request;
+mod shadow_traffic;
+mod streaming;
 mod timers;
-mod turn;
 
-pub use path::Subscriber;
+pub use observers::Subscriber;
 pub use platform::config;
 
 use boxes::Boxes;
 use calicosaddle::api::*;
 use calicosaddle::Brain;
 use config::Config;
-use copies::Copies;
+use descriptors::Places;
+use event_loop::{Source, Turn};
 use front::admin::{self, Admin};
 use front::clients::Clients;
 use front::control::{Endpoint, Kept};
 use mio::event::Event as Woken;
 use mio::Events;
-use path::{Gates, Observers, Told};
-use places::Places;
+use observers::{Gates, Observers, Told};
 use platform::discovery::{self, Answer, Discovery};
 use platform::inherited;
 use platform::signals::Signals;
 use request::Table;
+use shadow_traffic::Copies;
 use std::collections::VecDeque;
 use std::io;
 use timers::Due;
-use turn::{Source, Turn};
 
 const MS: Nanos = 1_000_000;
 /// How often all connections are looked over for what waits too long.
@@ -66,7 +66,7 @@
     clients: Clients,
     requests: Table,
     /// Long values that are being passed on.
-    passing: passing::Passing,
+    passing: streaming::Passing,
     places: Places,
     gates: Gates,
     observers: Observers,
@@ -116,7 +116,7 @@
         let users = front::users(&operator.clients, &config.tenants)?;
         let hello = boxes::hello(&operator.boxes)?;
         boxes::pipes(&operator.pipeline, &config)?;
-        let shadow = operator.shadow.as_ref().map(|s| copies::settings(s, &config)).transpose()?;
+        let shadow = operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, &config)).transpose()?;
         let kept = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
             config.listen,
@@ -144,7 +144,7 @@
             brain: Brain::new(config.settings.clone(), config.seed),
             clients,
             requests: Table::default(),
-            passing: passing::Passing::default(),
+            passing: streaming::Passing::default(),
             places,
             gates: Gates::new(config.max_open),
             observers: Observers::default(),
@@ -184,7 +184,7 @@
     pub fn check(config: &Config, operator: &operator::Operator) -> Result<(), String> {
         front::users(&operator.clients, &config.tenants)?;
         boxes::hello(&operator.boxes)?;
-        operator.shadow.as_ref().map(|s| copies::settings(s, config)).transpose()?;
+        operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, config)).transpose()?;
         boxes::pipes(&operator.pipeline, config).map(|_| ())
     }
 
--- a/crates/proxy/src/life.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -3,7 +3,7 @@
 
 use crate::boxes::{self, GivenUp, Job};
 use crate::front::clients;
-use crate::path::{Final, Told, Verdict};
+use crate::observers::{Final, Told, Verdict};
 use crate::request::{Answer, Place, Query};
 use crate::timers::Due;
 use crate::{Proxy, MS};
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What operators are shown: counts of answers by class, and how things stand, as lines of statsd's text form
 //! (`name:value|c` for what has been counted since the start, `|g` for what is so now).
 
-use crate::path::{Final, Observer, Told};
+use crate::observers::{Final, Observer, Told};
 use std::fmt::Write;
 
 /// Before each name.
--- a/crates/proxy/src/path.rs
+++ b/crates/proxy/src/observers.rs
@@ -2,7 +2,7 @@
 //! that are told what became of it. Each is listed here once, in the order in which it acts; one that is
 //! switched off is `None` and costs a branch.
 
-use crate::figures::Figures;
+use crate::metrics::Figures;
 use crate::request::Query;
 use calicosaddle::api::ServerId;
 use control::message::Counters;
--- a/crates/proxy/src/copies.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -5,10 +5,10 @@
 //! All of it comes last in a turn of the loop, when real answers and attempts have been written, and is no attempt of
 //! anything: the decision module, the boxes' figures and the clients never hear of it.
 
+use crate::event_loop::Source;
 use crate::platform::config::Config;
 use crate::request::Query;
 use crate::timers::{Due, Timers};
-use crate::turn::Source;
 use crate::{Proxy, MS};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/streaming.rs
@@ -5,7 +5,7 @@
 //! that is held up by a slow client is held up by the kernel. Danger: a value that breaks off ends its client's
 //! connection, since that is how a client can tell that it is not whole, and so ends what is pipelined behind it.
 
-use crate::path::{Final, Told};
+use crate::observers::{Final, Told};
 use crate::request::Place;
 use crate::Proxy;
 use calicosaddle::api::RequestId;
