--- a/crates/proxy/src/boxes/dial.rs
+++ b/crates/proxy/src/boxes/dial.rs
@@ -5,7 +5,7 @@
 use super::node::Node;
 use super::socket::{Dial, Socket};
 use super::{Boxes, NewConnection, QueuedAttempt};
-use crate::turn::Source;
+use crate::event_loop::Source;
 use addresses::{AddressId, ConnectionRace};
 use calicosaddle::api::{Nanos, ServerId};
 use mio::{Registry, Token};
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -16,7 +16,7 @@
 mod status;
 mod write;
 
-use crate::places::Places;
+use crate::descriptors::Places;
 use crate::platform::config::Config;
 use calicosaddle::api::{Nanos, RequestId, ServerId, Status};
 use connection::Connection;
