--- a/crates/proxy/src/boxes/choose.rs
+++ b/crates/proxy/src/boxes/choose.rs
@@ -46,7 +46,7 @@
     /// Danger: a write that may have arrived over one address of a node would be another one over the next, should
     /// the node know repeats by where they come in. It goes over the same address or not at all.
     fn only(&self, node: &Node, job: &Job) -> Option<AddressId> {
-        let gone = job.query.gone_over.borrow();
+        let gone = job.query.sent_via.borrow();
         let gone = gone.iter().find(|(s, _)| *s == node.entry.server).map(|(_, over)| *over);
         gone.filter(|_| !self.across && node.book.len() > 1)
     }
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -10,7 +10,7 @@
 mod socket;
 mod write;
 
-use crate::descriptors::Places;
+use crate::descriptors::DescriptorBudget;
 use crate::event_loop::Source;
 use crate::platform::config::Config;
 use crate::platform::discovery::{Names, News as List};
@@ -272,7 +272,7 @@
 
     /// Makes room for a client that comes to so many others, as far as idle connections allow it; tells how many
     /// clients there may be then.
-    pub fn make_room(&mut self, places: Places, clients: usize) -> usize {
+    pub fn make_room(&mut self, places: DescriptorBudget, clients: usize) -> usize {
         let wanted = clients >= places.for_clients(self.descriptors());
         if wanted && self.descriptors() > places.for_nodes(usize::MAX) {
             self.evict();
@@ -485,7 +485,7 @@
         let mut race = ConnectionRace::new(order);
         let entry = self.all.vacant_entry();
         let key = entry.key();
-        let token = Source::Box(key).token();
+        let token = Source::Node(key).token();
         let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
         let left = job.until.saturating_sub(now);
         let stagger = race.can_start_another().then(|| node.book.attempt_delay(link.over, left));
@@ -539,7 +539,7 @@
         }
         let Some(c) = self.all.get_mut(key) else { return };
         let Some(node) = self.nodes.get_mut(&c.node) else { return };
-        c.rival = dial(node, &mut c.race, &self.registry, Source::Rival(key).token(), now);
+        c.rival = dial(node, &mut c.race, &self.registry, Source::NodeRace(key).token(), now);
         self.rivals += usize::from(c.rival.is_some());
     }
 
@@ -575,7 +575,7 @@
             self.begin_rival(key, now);
             return;
         }
-        let token = Source::Box(key).token();
+        let token = Source::Node(key).token();
         let other = other.and_then(|mut d| d.socket.reregister(&self.registry, token).ok().map(|()| d));
         match other.or_else(|| dial(node, &mut c.race, &self.registry, token, now)) {
             Some(link) => c.link = link,
@@ -603,7 +603,7 @@
         }
         let Some(mut rival) = c.rival.take() else { return false };
         self.rivals -= 1;
-        if rival.socket.reregister(&self.registry, Source::Box(key).token()).is_err() {
+        if rival.socket.reregister(&self.registry, Source::Node(key).token()).is_err() {
             return false;
         }
         // It had the longer time, and is not up: the next connection goes elsewhere first.
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -92,7 +92,7 @@
                     c.pipe.record_written(n, now, |job| {
                         *written += 1;
                         if job.query.write {
-                            job.query.gone_over.borrow_mut().push(place);
+                            job.query.sent_via.borrow_mut().push(place);
                         }
                     });
                     if !c.pipe.has_batch() {
--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -6,14 +6,14 @@
 
 /// The descriptors that connections may have.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct DescriptorBudget {
     all: usize,
 }
 
-impl Places {
+impl DescriptorBudget {
     /// So many descriptors, of which some are kept back for all else.
     pub fn new(sockets: usize, reserved: usize) -> Self {
-        Places { all: sockets.saturating_sub(reserved).max(3) }
+        DescriptorBudget { all: sockets.saturating_sub(reserved).max(3) }
     }
 
     /// What nodes have for sure.
@@ -39,7 +39,7 @@
     #[test]
     fn no_more_are_given_away_than_there_are_and_each_side_has_its_part() {
         for sockets in [0, 33, 48, 192, 384, 1_024, 100_000] {
-            let places = Places::new(sockets, 32);
+            let places = DescriptorBudget::new(sockets, 32);
             let all = sockets.saturating_sub(32).max(3);
             for clients in 0..=all.min(1_100) {
                 let nodes = places.for_nodes(clients);
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -14,29 +14,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The clients' listener.
-    Listener,
+    ClientListener,
     /// SIGTERM.
-    Terminate,
+    Sigterm,
     /// SIGHUP.
-    Hangup,
+    Sighup,
     /// A call of discovery, by its number among those that may be out.
     Discovery(usize),
     /// The controllers' listener.
-    Control,
+    ControlListener,
     /// The operators' listener.
-    Admin,
+    AdminListener,
     /// A client's connection.
     Client(usize),
     /// A connection to a cache node.
-    Box(usize),
+    Node(usize),
     /// The second address that is tried for a connection to a cache node.
-    Rival(usize),
+    NodeRace(usize),
     /// A controller's connection.
-    Controller(usize),
+    ControlConnection(usize),
     /// An operator's call.
-    Caller(usize),
+    AdminConnection(usize),
     /// A connection to a candidate, which gets copies alone.
-    Candidate(usize),
+    ShadowConnection(usize),
 }
 
 impl Source {
@@ -47,18 +47,18 @@
     pub fn token(self) -> Token {
         let many = |kind: usize, key: usize| key * Source::KINDS + kind;
         Token(match self {
-            Source::Listener => many(0, 0),
-            Source::Terminate => many(0, 1),
-            Source::Hangup => many(0, 2),
-            Source::Control => many(0, 3),
-            Source::Admin => many(0, 4),
+            Source::ClientListener => many(0, 0),
+            Source::Sigterm => many(0, 1),
+            Source::Sighup => many(0, 2),
+            Source::ControlListener => many(0, 3),
+            Source::AdminListener => many(0, 4),
             Source::Discovery(call) => many(0, 5 + call),
             Source::Client(key) => many(1, key),
-            Source::Box(key) => many(2, key),
-            Source::Controller(key) => many(3, key),
-            Source::Rival(key) => many(4, key),
-            Source::Caller(key) => many(5, key),
-            Source::Candidate(key) => many(6, key),
+            Source::Node(key) => many(2, key),
+            Source::ControlConnection(key) => many(3, key),
+            Source::NodeRace(key) => many(4, key),
+            Source::AdminConnection(key) => many(5, key),
+            Source::ShadowConnection(key) => many(6, key),
         })
     }
 
@@ -72,18 +72,18 @@
     fn from(token: Token) -> Source {
         let key = token.0 / Source::KINDS;
         match (token.0 % Source::KINDS, key) {
-            (0, 0) => Source::Listener,
-            (0, 1) => Source::Terminate,
-            (0, 2) => Source::Hangup,
-            (0, 3) => Source::Control,
-            (0, 4) => Source::Admin,
+            (0, 0) => Source::ClientListener,
+            (0, 1) => Source::Sigterm,
+            (0, 2) => Source::Sighup,
+            (0, 3) => Source::ControlListener,
+            (0, 4) => Source::AdminListener,
             (0, call) => Source::Discovery(call - 5),
             (1, key) => Source::Client(key),
-            (2, key) => Source::Box(key),
-            (3, key) => Source::Controller(key),
-            (4, key) => Source::Rival(key),
-            (5, key) => Source::Caller(key),
-            (_, key) => Source::Candidate(key),
+            (2, key) => Source::Node(key),
+            (3, key) => Source::ControlConnection(key),
+            (4, key) => Source::NodeRace(key),
+            (5, key) => Source::AdminConnection(key),
+            (_, key) => Source::ShadowConnection(key),
         }
     }
 }
@@ -93,25 +93,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// Unix time at the start.
-    pub unix: Nanos,
+    pub unix_start: Nanos,
     started: Instant,
 }
 
 impl Clock {
     fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_nanos() as Nanos, started: Instant::now() }
+        Clock { unix_start: unix.as_nanos() as Nanos, started: Instant::now() }
     }
 
     /// The time.
     pub fn now(&self) -> Nanos {
-        self.unix + self.started.elapsed().as_nanos() as Nanos
+        self.unix_start + self.started.elapsed().as_nanos() as Nanos
     }
 }
 
 /// Waits for sockets and timers, and keeps the time of the turn at hand.
 #[derive(Debug)]
-pub struct Turn {
+pub struct EventLoop {
     poll: Poll,
     /// The clock.
     pub clock: Clock,
@@ -123,12 +123,12 @@
     pub timers: Timers,
 }
 
-impl Turn {
+impl EventLoop {
     /// A loop that has not waited yet.
     pub fn new() -> io::Result<Self> {
         let clock = Clock::new();
         let now = clock.now();
-        Ok(Turn { poll: Poll::new()?, clock, now, since: now, timers: Timers::default() })
+        Ok(EventLoop { poll: Poll::new()?, clock, now, since: now, timers: Timers::default() })
     }
 
     /// Where sockets are registered.
@@ -170,10 +170,17 @@
 
     #[test]
     fn every_source_comes_back_from_its_token() {
-        let ones = [Source::Listener, Source::Terminate, Source::Hangup, Source::Control, Source::Admin];
+        let ones = [
+            Source::ClientListener,
+            Source::Sigterm,
+            Source::Sighup,
+            Source::ControlListener,
+            Source::AdminListener,
+        ];
         let many = (0..9).flat_map(|i| {
-            let peers = [Source::Client(i), Source::Box(i), Source::Rival(i), Source::Candidate(i)];
-            peers.into_iter().chain([Source::Controller(i), Source::Caller(i)])
+            let peers =
+                [Source::Client(i), Source::Node(i), Source::NodeRace(i), Source::ShadowConnection(i)];
+            peers.into_iter().chain([Source::ControlConnection(i), Source::AdminConnection(i)])
         });
         let all: Vec<Source> =
             ones.into_iter().chain((0..CALLS).map(Source::Discovery)).chain(many).collect();
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: the listener, their connections, and answers in the order of the commands.
 
 use crate::platform::config::Config;
-use crate::request::{Answer, Place, Query};
+use crate::request::{Answer, Query, ReplySlot};
 use calicosaddle::api::{Nanos, RequestId};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub enum News {
     /// A request is to be answered.
-    Query(RequestId, Place, Rc<Query>),
+    Query(RequestId, ReplySlot, Rc<Query>),
     /// A request of this class was refused before it became one: there was no room for it.
     TurnedAway(u32),
     /// The client ended its sending and has this request open. It may still read: what is under way may be
@@ -443,7 +443,7 @@
             return;
         }
         let whole = command.is_whole();
-        let query = Query::read(command, config).map_err(Cow::from).and_then(|query| {
+        let query = Query::parse(command, config).map_err(Cow::from).and_then(|query| {
             client.session.may_ask_for(query.tenant, &self.users).map_err(Cow::from).map(|()| query)
         });
         match query {
@@ -453,7 +453,7 @@
                 self.reply_next(key, BUSY);
             }
             Ok(query) => {
-                let place = Place { client: key, number: client.first + client.slots.len() as u64 };
+                let place = ReplySlot { client: key, number: client.first + client.slots.len() as u64 };
                 let id = self.next_id;
                 self.next_id += 1;
                 client.slots.push_back(Slot::Waiting(id, client.session.protocol()));
@@ -478,7 +478,7 @@
     }
 
     /// Gives a request's whole answer.
-    pub fn answer(&mut self, place: Place, answer: &Answer<'_>) {
+    pub fn answer(&mut self, place: ReplySlot, answer: &Answer<'_>) {
         let Some(client) = self.all.get_mut(place.client) else { return };
         let Some(at) = place.number.checked_sub(client.first).map(|at| at as usize) else { return };
         let Some(Slot::Waiting(_, protocol)) = client.slots.get(at) else { return };
@@ -505,14 +505,14 @@
     }
 
     /// The slot at a place, and where that is in the order of answers.
-    fn slot(&mut self, place: Place) -> Option<(&mut Client, usize)> {
+    fn slot(&mut self, place: ReplySlot) -> Option<(&mut Client, usize)> {
         let client = self.all.get_mut(place.client)?;
         let at = place.number.checked_sub(client.first)? as usize;
         (at < client.slots.len()).then_some((client, at))
     }
 
     /// Begins a request's answer, a long value.
-    pub fn begin(&mut self, place: Place, shape: Shape, length: usize) {
+    pub fn begin(&mut self, place: ReplySlot, shape: Shape, length: usize) {
         let Some((client, at)) = self.slot(place) else { return };
         let Slot::Waiting(id, protocol) = client.slots[at] else { return };
         let mut head = Vec::new();
@@ -522,7 +522,7 @@
     }
 
     /// Goes on with it. False if no more of it is wanted for now: [`News::Wants`] says when there is.
-    pub fn pass(&mut self, place: Place, bytes: &[u8]) -> bool {
+    pub fn pass(&mut self, place: ReplySlot, bytes: &[u8]) -> bool {
         let share = self.share();
         let Some((client, at)) = self.slot(place) else { return true };
         let (unread, held) = (client.backlog() + bytes.len(), client.held);
@@ -541,7 +541,7 @@
     }
 
     /// Ends it.
-    pub fn finish(&mut self, place: Place, reply: &Reply) {
+    pub fn finish(&mut self, place: ReplySlot, reply: &Reply) {
         let Some((client, at)) = self.slot(place) else { return };
         let Slot::Passing(_, protocol, kept, _) = &mut client.slots[at] else { return };
         let before = kept.len();
@@ -554,7 +554,7 @@
     }
 
     /// It can't be ended: closing is how the client can tell.
-    pub fn cut(&mut self, place: Place) {
+    pub fn cut(&mut self, place: ReplySlot) {
         if let Some((client, at)) = self.slot(place) {
             client.slots.remove(at);
             self.remove(place.client);
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -4,10 +4,10 @@
 use super::admin::Call;
 use super::control::{interval, needs_life};
 use crate::event_loop::Source;
-use crate::metrics::Now;
+use crate::metrics::Gauges;
 use crate::observers::Gates;
 use crate::platform::config::Config;
-use crate::shadow_traffic::Copies;
+use crate::shadow_traffic::ShadowTraffic;
 use crate::{Proxy, MS};
 use ::control::message::{
     Answer, Body, Code, Error, Known, List, Page, Phase, Reconfigured, Status, MAX_PAGE,
@@ -21,58 +21,62 @@
     /// Does the work that controllers have, when its turn has come.
     pub(crate) fn controlled(&mut self) {
         let Some(mut endpoint) = self.control.take() else { return };
-        let began = self.turn.clock.now();
+        let began = self.event_loop.clock.now();
         if endpoint.work().is_some_and(|at| at <= began) {
-            self.turn.now = began;
-            let registry = self.turn.registry();
-            let requests =
-                endpoint.requests(registry, |key| Source::Controller(key).token(), &mut self.buffer, began);
+            self.event_loop.now = began;
+            let registry = self.event_loop.registry();
+            let requests = endpoint.requests(
+                registry,
+                |key| Source::ControlConnection(key).token(),
+                &mut self.buffer,
+                began,
+            );
             for (key, request) in requests {
                 let (id, done) = match request {
                     Err((id, error)) => (id, Err(error)),
                     Ok(Request { id, op: Op::Watch { every_ms }, .. }) => {
                         let watched = interval(every_ms).map(|every| {
-                            endpoint.watch(key, id.clone(), every, self.changes, began);
+                            endpoint.watch(key, id.clone(), every, self.change_count, began);
                             Answer::Status(Box::new(self.status()))
                         });
                         (id, watched)
                     }
                     Ok(Request { id, op, .. }) => (id, self.operate(op)),
                 };
-                self.settle();
+                self.process_pending();
                 match done {
                     Ok(answer) => endpoint.reply(key, id, Body::Ok(answer), began),
                     Err(error) => endpoint.error(key, id, error, began),
                 }
             }
-            endpoint.tell(self.changes, || self.status(), began);
-            endpoint.worked(began, self.turn.clock.now());
+            endpoint.tell(self.change_count, || self.status(), began);
+            endpoint.worked(began, self.event_loop.clock.now());
         }
         self.control = Some(endpoint);
     }
 
     /// Tells watchers what changed, and lets go of controllers that take too long.
     pub(crate) fn sweep_control(&mut self) {
-        if !self.started && self.boxes.counts().1 > 0 {
-            self.started = true;
-            self.changes += 1;
+        if !self.has_been_ready && self.boxes.counts().1 > 0 {
+            self.has_been_ready = true;
+            self.change_count += 1;
         }
         let Some(mut endpoint) = self.control.take() else { return };
         // One that is drained stops by itself when its last client leaves.
         let stopped = self.phase() == Phase::Stopped;
-        if std::mem::replace(&mut self.stopped, stopped) != stopped {
-            self.changes += 1;
+        if std::mem::replace(&mut self.was_stopped, stopped) != stopped {
+            self.change_count += 1;
         }
-        endpoint.sweep(self.turn.now);
-        endpoint.tell(self.changes, || self.status(), self.turn.now);
+        endpoint.sweep(self.event_loop.now);
+        endpoint.tell(self.change_count, || self.status(), self.event_loop.now);
         self.control = Some(endpoint);
     }
 
     fn operate(&mut self, op: Op) -> Result<Answer, Error> {
-        if self.stopping.is_some() && needs_life(&op) {
+        if self.terminating_since.is_some() && needs_life(&op) {
             return Err(Error::new(Code::Stopping, "the instance has been told to end; nothing changed"));
         }
-        let state = &self.kept.state;
+        let state = &self.persisted.state;
         match op {
             Op::Status | Op::Watch { .. } => {}
             Op::Boxes { after, limit } => {
@@ -82,7 +86,7 @@
                     return Err(Error::new(Code::BadRequest, message));
                 }
                 let zones = &self.config.names.zones;
-                let (boxes, more) = self.boxes.page(&after, limit, false, zones, self.turn.now);
+                let (boxes, more) = self.boxes.page(&after, limit, false, zones, self.event_loop.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
             Op::List => return Ok(Answer::Known(Known { known: self.known() })),
@@ -117,15 +121,15 @@
     /// Carries out an order for copying; how that stands then.
     fn order(
         &mut self,
-        order: impl FnOnce(&mut Copies, Nanos) -> Result<(), Error>,
+        order: impl FnOnce(&mut ShadowTraffic, Nanos) -> Result<(), Error>,
     ) -> Result<Answer, Error> {
-        let Some(copies) = &mut self.copies else {
+        let Some(copies) = &mut self.shadow_traffic else {
             return Err(Error::new(Code::BadRequest, "the operator's file has no [shadow]"));
         };
-        order(copies, self.turn.now)?;
-        self.look_for_candidates();
-        self.keep_copies();
-        let copies = self.copies.as_ref().map(|c| c.copying(&self.config.classes));
+        order(copies, self.event_loop.now)?;
+        self.update_candidates();
+        self.persist_shadow_state();
+        let copies = self.shadow_traffic.as_ref().map(|c| c.copying(&self.config.classes));
         copies.map(|c| Answer::Copying(Box::new(c))).ok_or_else(|| Error::new(Code::Stopping, "it ends"))
     }
 
@@ -133,8 +137,8 @@
 
     fn keep(&mut self, change: Option<State>) -> Result<(), Error> {
         if let Some(state) = change {
-            self.kept.store(state)?;
-            self.changes += 1;
+            self.persisted.store(state)?;
+            self.change_count += 1;
             self.withdraw();
         }
         Ok(())
@@ -142,36 +146,36 @@
 
     /// Puts in force what operators said of boxes: for the module's choices, and for what waits to be written.
     pub(crate) fn withdraw(&mut self) {
-        let servers: Vec<ServerId> = self.kept.state.boxes.iter().map(|name| server_id(name)).collect();
-        self.boxes.withdraw(&servers, self.turn.now);
-        self.events.push_back(Event::OperatorDrained(servers));
+        let servers: Vec<ServerId> = self.persisted.state.boxes.iter().map(|name| server_id(name)).collect();
+        self.boxes.withdraw(&servers, self.event_loop.now);
+        self.pending_events.push_back(Event::OperatorDrained(servers));
     }
 
     fn drain(&mut self) -> Result<(), Error> {
-        if self.draining.is_none() {
-            self.kept.store(State { drained: true, ..self.kept.state.clone() })?;
-            self.draining = Some(self.turn.now);
-            self.changes += 1;
+        if self.draining_since.is_none() {
+            self.persisted.store(State { drained: true, ..self.persisted.state.clone() })?;
+            self.draining_since = Some(self.event_loop.now);
+            self.change_count += 1;
         }
         Ok(())
     }
 
     fn undrain(&mut self) -> Result<(), Error> {
-        if self.draining.is_none() {
+        if self.draining_since.is_none() {
             return Ok(());
         }
-        let before = self.kept.state.clone();
-        self.kept.store(State { drained: false, ..before.clone() })?;
-        if self.closed {
-            if let Err(e) = self.clients.listen(self.turn.registry(), Source::Listener.token()) {
+        let before = self.persisted.state.clone();
+        self.persisted.store(State { drained: false, ..before.clone() })?;
+        if self.closed_to_clients {
+            if let Err(e) = self.clients.listen(self.event_loop.registry(), Source::ClientListener.token()) {
                 // Danger: a restart would serve where the tool was told that it stays drained.
-                self.kept.store(before)?;
+                self.persisted.store(before)?;
                 let message = format!("{} can't be listened at: {e}; still drained", self.config.listen);
                 return Err(Error::new(Code::Storage, message));
             }
         }
-        (self.draining, self.closed) = (None, false);
-        self.changes += 1;
+        (self.draining_since, self.closed_to_clients) = (None, false);
+        self.change_count += 1;
         Ok(())
     }
 
@@ -193,14 +197,14 @@
             self.discovery.configure((&self.config.settings).into());
             self.boxes.configure(&self.config);
             self.gates = Gates::new(self.config.max_open);
-            self.copies.iter_mut().for_each(|c| c.proxies(&self.config));
+            self.shadow_traffic.iter_mut().for_each(|c| c.set_proxies(&self.config));
             if settings {
-                self.events.push_back(Event::Settings(Box::new(self.config.settings.clone())));
+                self.pending_events.push_back(Event::Settings(Box::new(self.config.settings.clone())));
             }
             if moved {
-                self.discovery_moved();
+                self.discovery_address_changed();
             }
-            self.changes += 1;
+            self.change_count += 1;
         }
         let changes = changes.into_iter().chain(needs_restart.iter().cloned()).collect();
         Ok(Reconfigured { generation: self.config.generation, applied, changes, needs_restart })
@@ -209,11 +213,11 @@
     // ---- state ----
 
     pub(crate) fn phase(&self) -> Phase {
-        let leaving = self.draining.is_some() || self.stopping.is_some();
-        match (leaving, self.closed && self.clients.is_empty()) {
+        let leaving = self.draining_since.is_some() || self.terminating_since.is_some();
+        match (leaving, self.closed_to_clients && self.clients.is_empty()) {
             (true, true) => Phase::Stopped,
             (true, false) => Phase::Draining,
-            (false, _) if self.started || self.boxes.counts().1 > 0 => Phase::Ready,
+            (false, _) if self.has_been_ready || self.boxes.counts().1 > 0 => Phase::Ready,
             (false, _) => Phase::Starting,
         }
     }
@@ -223,7 +227,9 @@
         let Some(call) = self.admin.as_mut().and_then(|a| a.woke(key, &mut self.buffer)) else { return };
         let answer = match call {
             // Before there is a listener, or once it is closed, clients are not taken.
-            Ok(Call::Ready) if self.closed || self.stopping.is_some() => "error not ready\n".to_owned(),
+            Ok(Call::Ready) if self.closed_to_clients || self.terminating_since.is_some() => {
+                "error not ready\n".to_owned()
+            }
             Ok(Call::Ready) => "done\n".to_owned(),
             Ok(Call::ShowStat) => self.figures() + "end\n",
             Err(what) => format!("error {what}\n"),
@@ -232,32 +238,32 @@
     }
 
     fn figures(&self) -> String {
-        let now = Now {
+        let now = Gauges {
             backend_calls: self.boxes.written(),
-            inflight: self.requests.unanswered() + self.passing.len(),
+            inflight: self.requests.unanswered() + self.streamed_values.len(),
             hosts_listed: self.boxes.counts().0,
-            hosts_down: self.brain.unavailable_servers(self.turn.now),
+            hosts_down: self.balancer.unavailable_servers(self.event_loop.now),
         };
-        self.observers.figures.write(&self.config.classes, &now)
+        self.observers.metrics.write(&self.config.classes, &now)
     }
 
     pub(crate) fn status(&self) -> Status {
         let (version, heard) = self.discovery.known();
-        let since = |at: Nanos| self.turn.now.saturating_sub(at) / MS;
+        let since = |at: Nanos| self.event_loop.now.saturating_sub(at) / MS;
         let (boxes, usable, connections, attempts) = self.boxes.counts();
         let mut counters = self.observers.counters;
         counters.wrong_passwords = self.clients.wrong_passwords();
         Status {
             name: self.config.name.clone(),
             pid: std::process::id(),
-            started_ms: self.turn.clock.unix / MS,
+            started_ms: self.event_loop.clock.unix_start / MS,
             phase: self.phase(),
             generation: self.config.generation,
-            revision: self.kept.state.revision,
-            drained: self.kept.state.boxes.iter().cloned().collect(),
+            revision: self.persisted.state.revision,
+            drained: self.persisted.state.boxes.iter().cloned().collect(),
             list: List {
                 version,
-                age_ms: since(heard.unwrap_or(self.turn.clock.unix)),
+                age_ms: since(heard.unwrap_or(self.event_loop.clock.unix_start)),
                 failing: self.discovery_failed,
                 boxes,
                 usable,
@@ -267,8 +273,8 @@
             clients: self.clients.count(),
             connections,
             counters,
-            pipelines: self.boxes.pipelines(self.turn.now),
-            leaving: self.boxes.page("", MAX_PAGE, true, &self.config.names.zones, self.turn.now).0,
+            pipelines: self.boxes.pipelines(self.event_loop.now),
+            leaving: self.boxes.page("", MAX_PAGE, true, &self.config.names.zones, self.event_loop.now).0,
         }
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -24,8 +24,8 @@
 use calicosaddle::api::*;
 use calicosaddle::Balancer;
 use config::Config;
-use descriptors::Places;
-use event_loop::{Source, Turn};
+use descriptors::DescriptorBudget;
+use event_loop::{EventLoop, Source};
 use front::admin::{self, Admin};
 use front::clients::Clients;
 use front::control::{Endpoint, Kept};
@@ -36,7 +36,7 @@
 use platform::inherited;
 use platform::signals::Signals;
 use request::Table;
-use shadow_traffic::Copies;
+use shadow_traffic::ShadowTraffic;
 use std::collections::VecDeque;
 use std::io;
 use timers::Due;
@@ -60,36 +60,36 @@
 /// One proxy.
 pub struct Proxy {
     config: Config,
-    turn: Turn,
+    event_loop: EventLoop,
     signals: Signals,
-    brain: Balancer,
+    balancer: Balancer,
     clients: Clients,
     requests: Table,
     /// Long values that are being passed on.
-    passing: streaming::Passing,
-    places: Places,
+    streamed_values: streaming::StreamedValues,
+    descriptor_budget: DescriptorBudget,
     gates: Gates,
     observers: Observers,
     boxes: Boxes,
     discovery: Discovery,
-    events: VecDeque<Event>,
+    pending_events: VecDeque<Event>,
     actions: Vec<Action>,
     buffer: Vec<u8>,
-    stopping: Option<Nanos>,
+    terminating_since: Option<Nanos>,
     /// A controller drained this instance then; nothing while it serves.
-    draining: Option<Nanos>,
-    closed: bool,
+    draining_since: Option<Nanos>,
+    closed_to_clients: bool,
     admin: Option<Admin>,
     control: Option<Endpoint>,
     /// Reads that are copied to boxes which are not in service yet.
-    copies: Option<Copies>,
-    kept: Kept,
+    shadow_traffic: Option<ShadowTraffic>,
+    persisted: Kept,
     /// Counts the changes that a watching controller is told of.
-    changes: u64,
+    change_count: u64,
     /// It has known a box that takes work.
-    started: bool,
+    has_been_ready: bool,
     /// It was stopped when the connections were last looked over.
-    stopped: bool,
+    was_stopped: bool,
     discovery_failed: bool,
     /// When the connections are to be looked over next.
     sweep_due: Nanos,
@@ -105,74 +105,82 @@
         operator: &operator::Operator,
     ) -> Result<Self, Box<dyn std::error::Error>> {
         let inherited = config.inherited.as_deref().map(inherited::take).transpose()?;
-        let turn = Turn::new()?;
-        let (registry, now) = (turn.registry(), turn.now);
-        let signals = Signals::listen(registry, Source::Terminate.token(), Source::Hangup.token())?;
+        let event_loop = EventLoop::new()?;
+        let (registry, now) = (event_loop.registry(), event_loop.now);
+        let signals = Signals::listen(registry, Source::Sigterm.token(), Source::Sighup.token())?;
         let controllers = operator.control.as_ref().map_or(0, |c| c.max_connections + 1);
         let copies = operator.shadow.as_ref().map_or(0, |s| s.connections);
         let reserved = RESERVED + controllers + copies + config.admin.map_or(0, |_| admin::PLACES + 1);
-        let places = Places::new(config.sockets, reserved);
+        let descriptor_budget = DescriptorBudget::new(config.sockets, reserved);
         let memory = ((config.memory_mb << 20) / MEMORY_PART) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
         let hello = boxes::hello(&operator.boxes)?;
         boxes::pipes(&operator.pipeline, &config)?;
         let shadow = operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, &config)).transpose()?;
-        let kept = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
+        let persisted = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
             config.listen,
             inherited,
-            places.for_clients(0),
+            descriptor_budget.for_clients(0),
             memory,
             users,
             operator.pipeline.clients,
         );
-        let drained = kept.state.drained;
+        let drained = persisted.state.drained;
         if !drained {
-            clients.listen(registry, Source::Listener.token())?;
+            clients.listen(registry, Source::ClientListener.token())?;
         }
-        let admin = config.admin.map(|a| Admin::open(a, registry, Source::Admin.token())).transpose()?;
+        let admin =
+            config.admin.map(|a| Admin::open(a, registry, Source::AdminListener.token())).transpose()?;
         let control = operator.control.as_ref();
-        let control = control.map(|c| Endpoint::open(c, registry, Source::Control.token())).transpose()?;
-        let copies = operator.shadow.as_ref().zip(shadow);
-        let copies =
-            copies.map(|(told, settings)| Copies::new(told, settings, &config, kept.state.shadow, now));
+        let control =
+            control.map(|c| Endpoint::open(c, registry, Source::ControlListener.token())).transpose()?;
+        let shadow_traffic = operator.shadow.as_ref().zip(shadow);
+        let shadow_traffic = shadow_traffic
+            .map(|(told, settings)| ShadowTraffic::new(told, settings, &config, persisted.state.shadow, now));
         let known = config.known.take();
         let version = known.as_ref().map(|k| k.version);
         let calls = std::array::from_fn(|call| Source::Discovery(call).token());
         let mut proxy = Proxy {
             signals,
-            brain: Balancer::new(config.settings.clone(), config.seed),
+            balancer: Balancer::new(config.settings.clone(), config.seed),
             clients,
             requests: Table::default(),
-            passing: streaming::Passing::default(),
-            places,
+            streamed_values: streaming::StreamedValues::default(),
+            descriptor_budget,
             gates: Gates::new(config.max_open),
             observers: Observers::default(),
-            boxes: Boxes::new(&config, places.for_nodes(0), registry.try_clone()?, operator, hello),
+            boxes: Boxes::new(
+                &config,
+                descriptor_budget.for_nodes(0),
+                registry.try_clone()?,
+                operator,
+                hello,
+            ),
             discovery: Discovery::new(&config, version, now, calls),
-            events: VecDeque::new(),
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
             buffer: vec![0; BUFFER],
-            stopping: None,
-            draining: drained.then_some(now),
-            closed: drained,
+            terminating_since: None,
+            draining_since: drained.then_some(now),
+            closed_to_clients: drained,
             admin,
             control,
-            copies,
-            kept,
-            changes: 0,
-            started: false,
-            stopped: false,
+            shadow_traffic,
+            persisted,
+            change_count: 0,
+            has_been_ready: false,
+            was_stopped: false,
             discovery_failed: false,
             sweep_due: now,
-            turn,
+            event_loop,
             config,
         };
         proxy.withdraw();
         let entries = known.map(|k| proxy.take_list(k)).unwrap_or_default();
-        proxy.events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
+        proxy.pending_events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
         proxy.decide();
-        proxy.turn.timers.set(now + SWEEP, Due::Sweep);
+        proxy.event_loop.timers.set(now + SWEEP, Due::Sweep);
         proxy.sweep_due = now + SWEEP;
         Ok(proxy)
     }
@@ -201,8 +209,8 @@
             let more = self.clients.has_more() || self.boxes.has_more() || calls;
             let work = self.control.as_ref().and_then(Endpoint::work).into_iter().chain(self.boxes.due());
             let work = work.chain([self.discovery.due()]).min();
-            if self.turn.wait(&mut events, work, more)? {
-                self.turn(&events);
+            if self.event_loop.wait(&mut events, work, more)? {
+                self.run_iteration(&events);
             }
         }
         Ok(())
@@ -211,110 +219,113 @@
     /// One turn of the loop. Cache nodes come first: a connection that has closed is not written to again.
     /// Danger: a turn may be long where a core is shared, and waits would be measured short; so the clock is
     /// read again for each socket.
-    fn turn(&mut self, events: &Events) {
+    fn run_iteration(&mut self, events: &Events) {
         let closed = |event: &Woken| event.is_read_closed() || event.is_error();
         for key in self.boxes.take_again() {
-            self.boxes.ready(key, true, &mut self.buffer, self.turn.now);
-            self.settle();
+            self.boxes.ready(key, true, &mut self.buffer, self.event_loop.now);
+            self.process_pending();
         }
         for event in events {
             let (key, rival) = match Source::of(event) {
-                Source::Box(key) => (key, false),
-                Source::Rival(key) => (key, true),
+                Source::Node(key) => (key, false),
+                Source::NodeRace(key) => (key, true),
                 _ => continue,
             };
-            self.turn.tick();
-            if !rival || self.boxes.rival_ready(key, self.turn.now) {
-                self.boxes.ready(key, closed(event), &mut self.buffer, self.turn.now);
+            self.event_loop.tick();
+            if !rival || self.boxes.rival_ready(key, self.event_loop.now) {
+                self.boxes.ready(key, closed(event), &mut self.buffer, self.event_loop.now);
             }
-            self.settle();
+            self.process_pending();
         }
         self.run_timers();
-        let began = self.discovery.run(self.turn.registry(), self.turn.now);
+        let began = self.discovery.run(self.event_loop.registry(), self.event_loop.now);
         self.discovered(began);
         self.write();
         for event in events {
             match Source::of(event) {
-                Source::Listener => self.clients.knocked(),
-                Source::Terminate => self.signalled(),
-                Source::Hangup => self.reload(),
-                Source::Admin => self.admin.iter_mut().for_each(Admin::knocked),
-                Source::Control => self.control.iter_mut().for_each(Endpoint::knocked),
+                Source::ClientListener => self.clients.knocked(),
+                Source::Sigterm => self.signalled(),
+                Source::Sighup => self.reload(),
+                Source::AdminListener => self.admin.iter_mut().for_each(Admin::knocked),
+                Source::ControlListener => self.control.iter_mut().for_each(Endpoint::knocked),
                 Source::Discovery(_) => {
-                    let answer = self.discovery.ready(self.turn.registry(), event.token(), self.turn.now);
+                    let answer =
+                        self.discovery.ready(self.event_loop.registry(), event.token(), self.event_loop.now);
                     self.discovered(answer);
                 }
                 Source::Client(_)
-                | Source::Box(_)
-                | Source::Rival(_)
-                | Source::Controller(_)
-                | Source::Caller(_)
-                | Source::Candidate(_) => continue,
+                | Source::Node(_)
+                | Source::NodeRace(_)
+                | Source::ControlConnection(_)
+                | Source::AdminConnection(_)
+                | Source::ShadowConnection(_) => continue,
             }
-            self.settle();
+            self.process_pending();
         }
         for key in self.clients.take_again() {
-            self.clients.read(key, true, &self.config, &mut self.buffer, self.turn.now);
-            self.settle();
+            self.clients.read(key, true, &self.config, &mut self.buffer, self.event_loop.now);
+            self.process_pending();
         }
         for event in events {
             let Source::Client(key) = Source::of(event) else { continue };
-            self.turn.tick();
+            self.event_loop.tick();
             if event.is_writable() {
-                self.clients.flush(key, self.turn.now);
+                self.clients.flush(key, self.event_loop.now);
             }
-            self.clients.read(key, closed(event), &self.config, &mut self.buffer, self.turn.now);
-            self.settle();
+            self.clients.read(key, closed(event), &self.config, &mut self.buffer, self.event_loop.now);
+            self.process_pending();
         }
         self.write();
         if self.accept().is_err() {
             // Danger: without a pause the loop would spin on a listener that it can't accept from.
-            self.turn.timers.set(self.turn.now + ACCEPT_PAUSE, Due::Accept);
+            self.event_loop.timers.set(self.event_loop.now + ACCEPT_PAUSE, Due::Accept);
         }
         for event in events {
-            let Source::Controller(key) = Source::of(event) else { continue };
-            self.control.iter_mut().for_each(|c| c.woke(key, self.turn.now));
+            let Source::ControlConnection(key) = Source::of(event) else { continue };
+            self.control.iter_mut().for_each(|c| c.woke(key, self.event_loop.now));
         }
         for event in events {
-            let Source::Caller(key) = Source::of(event) else { continue };
+            let Source::AdminConnection(key) = Source::of(event) else { continue };
             self.called(key);
         }
         if let Some(admin) = &mut self.admin {
-            admin.accept(self.turn.registry(), self.turn.now, |key| Source::Caller(key).token());
+            admin.accept(self.event_loop.registry(), self.event_loop.now, |key| {
+                Source::AdminConnection(key).token()
+            });
         }
         self.controlled();
-        self.clients.admit(&self.config, self.turn.now);
-        self.settle();
+        self.clients.admit(&self.config, self.event_loop.now);
+        self.process_pending();
         self.write();
-        self.clients.flush_all(self.turn.now);
-        self.settle();
+        self.clients.flush_all(self.event_loop.now);
+        self.process_pending();
         self.write();
-        self.copy(events);
+        self.run_shadow_traffic(events);
     }
 
     /// Writes to cache nodes what became ready since: all that one connection has in one go.
     fn write(&mut self) {
-        while self.boxes.write(self.turn.now) {
-            self.settle();
+        while self.boxes.write(self.event_loop.now) {
+            self.process_pending();
         }
     }
 
     /// Accepts clients, each with what places there are by then.
     fn accept(&mut self) -> io::Result<()> {
-        let (places, boxes) = (self.places, &mut self.boxes);
+        let (descriptor_budget, boxes) = (self.descriptor_budget, &mut self.boxes);
         let client = |key| Source::Client(key).token();
-        let limit = |clients| boxes.make_room(places, clients);
-        self.clients.accept(self.turn.registry(), self.turn.now, client, limit)
+        let limit = |clients| boxes.make_room(descriptor_budget, clients);
+        self.clients.accept(self.event_loop.registry(), self.event_loop.now, client, limit)
     }
 
     /// Works off all that sockets told and that follows from it.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         loop {
             if let Some(news) = self.boxes.news() {
                 self.attempt_news(news);
             } else if let Some(news) = self.clients.news() {
                 self.client_news(news);
-            } else if self.events.is_empty() {
+            } else if self.pending_events.is_empty() {
                 return;
             }
             self.decide();
@@ -330,7 +341,7 @@
                 self.discovery_failed = false;
                 let kind = if news.whole { ListKind::Full } else { ListKind::Delta };
                 let entries = self.take_list(news);
-                self.events.push_back(Event::ServerList { kind, entries });
+                self.pending_events.push_back(Event::ServerList { kind, entries });
             }
             Some(Answer::Failed(e)) => {
                 let row = std::mem::replace(&mut self.discovery_failed, true);
@@ -341,10 +352,10 @@
     }
 
     fn take_list(&mut self, news: discovery::News) -> Vec<ServerEntry> {
-        self.boxes.list(&news, self.turn.now);
-        self.look_for_candidates();
+        self.boxes.list(&news, self.event_loop.now);
+        self.update_candidates();
         self.observers.tell(Told::List);
-        self.changes += 1;
+        self.change_count += 1;
         news.hosts.into_iter().map(|h| h.entry).collect()
     }
 
@@ -362,47 +373,49 @@
             Ok(new) => {
                 eprintln!("reload: discovery is now at {}, was at {}", new.discovery, self.config.discovery);
                 self.config.discovery = new.discovery;
-                self.discovery_moved();
+                self.discovery_address_changed();
             }
         }
     }
 
-    fn discovery_moved(&mut self) {
-        self.discovery.moved(self.config.discovery, self.turn.now);
+    fn discovery_address_changed(&mut self) {
+        self.discovery.moved(self.config.discovery, self.event_loop.now);
         self.discovery_failed = false;
     }
 
     // ---- time ----
 
     fn run_timers(&mut self) {
-        while let Some(due) = self.turn.timers.pop(self.turn.now) {
+        while let Some(due) = self.event_loop.timers.pop(self.event_loop.now) {
             match due {
-                Due::Module(token) => self.events.push_back(Event::Timer(token)),
+                Due::Module(token) => self.pending_events.push_back(Event::Timer(token)),
                 Due::Deadline(id) => self.deadline(id),
                 Due::Attempt(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
-                Due::Connect(key, serial) => self.boxes.connect_timeout(key, serial, self.turn.now),
-                Due::Stagger(key, serial) => self.boxes.stagger(key, serial, self.turn.now),
+                Due::Connect(key, serial) => self.boxes.connect_timeout(key, serial, self.event_loop.now),
+                Due::Stagger(key, serial) => self.boxes.stagger(key, serial, self.event_loop.now),
                 Due::Accept => self.clients.knocked(),
-                Due::Copy(number) => self.copies.iter_mut().for_each(|c| c.overdue(number, self.turn.now)),
+                Due::Copy(number) => {
+                    self.shadow_traffic.iter_mut().for_each(|c| c.overdue(number, self.event_loop.now))
+                }
                 Due::Sweep => {
-                    let late = self.turn.now.saturating_sub(self.sweep_due);
-                    self.sweep_due = self.turn.now + SWEEP;
-                    self.turn.timers.set(self.turn.now + SWEEP, Due::Sweep);
-                    self.clients.sweep(self.turn.now);
-                    self.boxes.sweep(self.turn.now);
-                    if self.clients.count() < self.places.for_clients(self.boxes.descriptors()) {
+                    let late = self.event_loop.now.saturating_sub(self.sweep_due);
+                    self.sweep_due = self.event_loop.now + SWEEP;
+                    self.event_loop.timers.set(self.event_loop.now + SWEEP, Due::Sweep);
+                    self.clients.sweep(self.event_loop.now);
+                    self.boxes.sweep(self.event_loop.now);
+                    if self.clients.count() < self.descriptor_budget.for_clients(self.boxes.descriptors()) {
                         // What clients leave, nodes may have again.
-                        self.boxes.make_room(self.places, self.clients.count());
+                        self.boxes.make_room(self.descriptor_budget, self.clients.count());
                     }
-                    let answer = self.discovery.sweep(self.turn.registry(), self.turn.now);
+                    let answer = self.discovery.sweep(self.event_loop.registry(), self.event_loop.now);
                     self.discovered(answer);
                     self.stop();
-                    self.admin.iter_mut().for_each(|a| a.sweep(self.turn.now));
+                    self.admin.iter_mut().for_each(|a| a.sweep(self.event_loop.now));
                     self.sweep_control();
-                    self.sweep_copies(late);
+                    self.sweep_shadow_traffic(late);
                 }
             }
-            self.settle();
+            self.process_pending();
         }
     }
 
@@ -411,27 +424,28 @@
     fn signalled(&mut self) {
         self.signals.terminated();
         // What is copied ends with the process, at once.
-        self.copies = None;
-        self.stopping.get_or_insert(self.turn.now);
-        self.changes += 1;
+        self.shadow_traffic = None;
+        self.terminating_since.get_or_insert(self.event_loop.now);
+        self.change_count += 1;
     }
 
     /// Closes the proxy to clients once the window after SIGTERM or a controller's drain is over.
     fn stop(&mut self) {
-        let since = self.draining.into_iter().chain(self.stopping).min();
-        if self.closed || since.is_none_or(|at| self.turn.now < at + WINDOW) {
+        let since = self.draining_since.into_iter().chain(self.terminating_since).min();
+        if self.closed_to_clients || since.is_none_or(|at| self.event_loop.now < at + WINDOW) {
             return;
         }
-        self.closed = true;
+        self.closed_to_clients = true;
         // Danger: what the kernel has accepted would be reset with the listener.
         self.clients.knocked();
         let _ = self.accept();
-        self.clients.stop(&self.config, &mut self.buffer, self.turn.now);
+        self.clients.stop(&self.config, &mut self.buffer, self.event_loop.now);
     }
 
     fn done(&self) -> bool {
-        self.stopping.is_some_and(|at| {
-            (self.closed && self.clients.is_empty()) || self.turn.now >= at + self.config.longest + LAST_CALL
+        self.terminating_since.is_some_and(|at| {
+            (self.closed_to_clients && self.clients.is_empty())
+                || self.event_loop.now >= at + self.config.longest + LAST_CALL
         })
     }
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -4,7 +4,7 @@
 use crate::boxes::{self, GivenUp, Job};
 use crate::front::clients;
 use crate::observers::{Final, Told, Verdict};
-use crate::request::{Answer, Place, Query};
+use crate::request::{Answer, Query, ReplySlot};
 use crate::timers::Due;
 use crate::{Proxy, MS};
 use calicosaddle::api::*;
@@ -24,7 +24,7 @@
                 // Danger: a client that only ended its sending waits for its answer, and one that left wants
                 // nothing more to be done. An attempt that is out is let finish, no other follows it.
                 if self.requests.leave(id) {
-                    self.events.push_back(Event::Abandoned(id));
+                    self.pending_events.push_back(Event::Abandoned(id));
                 }
             }
             clients::News::Wants(id) => self.wanted(id),
@@ -34,28 +34,28 @@
                     return;
                 }
                 self.observers.tell(Told::Abandoned);
-                self.events.push_back(Event::Abandoned(id));
+                self.pending_events.push_back(Event::Abandoned(id));
                 self.end_attempts(id, Status::Cancelled);
                 self.requests.retire(id);
             }
         }
     }
 
-    fn arrived(&mut self, id: RequestId, place: Place, query: Rc<Query>) {
+    fn arrived(&mut self, id: RequestId, place: ReplySlot, query: Rc<Query>) {
         self.observers.tell(Told::Arrived);
         let class = query.class;
         if query.write {
-            self.copies.iter_mut().for_each(|c| c.wrote(query.key));
+            self.shadow_traffic.iter_mut().for_each(|c| c.wrote(query.key));
         }
         if self.gates.judge(&query, self.requests.len()) == Verdict::Refuse {
             self.give(place, class, Answer::Busy(0), Final::Refused);
             return;
         }
-        match self.requests.arrive(id, place, query, self.turn.since, self.turn.now) {
+        match self.requests.arrive(id, place, query, self.event_loop.since, self.event_loop.now) {
             None => self.give(place, class, Answer::IdInUse, Final::Failed),
             Some((request, until)) => {
-                self.turn.timers.set(until, Due::Deadline(id));
-                self.events.push_back(Event::Arrival(request));
+                self.event_loop.timers.set(until, Due::Deadline(id));
+                self.pending_events.push_back(Event::Arrival(request));
             }
         }
     }
@@ -64,13 +64,13 @@
 
     /// Hands the module what happened, and does what it says.
     pub(crate) fn decide(&mut self) {
-        while let Some(mut event) = self.events.pop_front() {
+        while let Some(mut event) = self.pending_events.pop_front() {
             if let Event::Outcome(o) = &mut event {
                 o.request_complete = !self.requests.waits(o.id);
                 self.requests.retire(o.id);
             }
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(self.turn.now, event, &mut actions);
+            self.balancer.handle(self.event_loop.now, event, &mut actions);
             actions.drain(..).for_each(|action| self.act(action));
             self.actions = actions;
         }
@@ -85,10 +85,10 @@
             }
             Action::Fail { id } => self.answer(id, Answer::Failed, Final::Failed),
             Action::Timer { token, delay } => {
-                self.turn.timers.set(self.turn.now + delay, Due::Module(token));
+                self.event_loop.timers.set(self.event_loop.now + delay, Due::Module(token));
             }
             // This module asks for no probes; the design has no use for them.
-            Action::Probe(server) => self.events.push_back(Event::Probed {
+            Action::Probe(server) => self.pending_events.push_back(Event::Probed {
                 server,
                 status: Status::NotSent,
                 elapsed: 0,
@@ -103,7 +103,7 @@
     // ---- attempts ----
 
     fn send(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
-        let now = self.turn.now;
+        let now = self.event_loop.now;
         let most = self.config.settings.max_attempts.max(1);
         let Some(begun) = self.requests.begin(id, server, most, now) else { return };
         self.observers.tell(Told::Attempt);
@@ -115,7 +115,7 @@
         let mut until = begun.until;
         if timeout > 0 && now + timeout < until {
             until = now + timeout;
-            self.turn.timers.set(until, Due::Attempt(id, attempt));
+            self.event_loop.timers.set(until, Due::Attempt(id, attempt));
         }
         let promised =
             self.config.settings.classes.get(begun.query.class as usize).map_or(0, |c| c.latency_target);
@@ -129,12 +129,12 @@
 
     /// A connection has an attempt; it may be new.
     fn carried(&mut self, id: RequestId, attempt: u32, key: usize, new: Option<boxes::Begun>) {
-        let now = self.turn.now;
+        let now = self.event_loop.now;
         if let Some(new) = new {
             let wait = self.config.settings.connect_timeout.max(MS);
-            self.turn.timers.set(now + wait, Due::Connect(key, new.serial));
+            self.event_loop.timers.set(now + wait, Due::Connect(key, new.serial));
             if let Some(delay) = new.stagger {
-                self.turn.timers.set(now + delay, Due::Stagger(key, new.serial));
+                self.event_loop.timers.set(now + delay, Due::Stagger(key, new.serial));
             }
         }
         self.requests.carried(id, attempt, key);
@@ -148,7 +148,7 @@
             if status == Status::Timeout && !self.boxes.is_written(key, id, attempt) {
                 status = Status::ConnectFailed;
             }
-            if !self.boxes.cancel(key, id, attempt, given_up, self.turn.now) {
+            if !self.boxes.cancel(key, id, attempt, given_up, self.event_loop.now) {
                 // Its news is on the way.
                 return;
             }
@@ -162,10 +162,10 @@
 
     pub(crate) fn deadline(&mut self, id: RequestId) {
         self.end_attempts(id, Status::Timeout);
-        self.settle();
+        self.process_pending();
         // The module answers when its last attempt has timed out; this holds should it ever not.
         if self.requests.waits(id) {
-            self.events.push_back(Event::Abandoned(id));
+            self.pending_events.push_back(Event::Abandoned(id));
             self.answer(id, Answer::Failed, Final::Failed);
         }
     }
@@ -205,12 +205,12 @@
     /// Tells the module how an attempt ended.
     fn ended(&mut self, id: RequestId, attempt: u32, status: Status, reply: &resp::Reply) {
         let Some(a) = self.requests.end(id, attempt) else { return };
-        self.events.push_back(Event::Outcome(Outcome {
+        self.pending_events.push_back(Event::Outcome(Outcome {
             id,
             attempt,
             server: a.server,
             status,
-            elapsed: self.turn.now.saturating_sub(a.sent),
+            elapsed: self.event_loop.now.saturating_sub(a.sent),
             request_complete: false,
             hit: reply.hit(),
             load_report: load(&reply.load, &self.config.columns),
@@ -230,7 +230,7 @@
         self.requests.retire(id);
     }
 
-    fn give(&mut self, place: Place, class: u32, answer: Answer<'_>, how: Final) {
+    fn give(&mut self, place: ReplySlot, class: u32, answer: Answer<'_>, how: Final) {
         self.observers.tell(Told::Answered(how, class));
         self.clients.answer(place, &answer);
     }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -9,7 +9,7 @@
 
 /// How things stand.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
+pub struct Gauges {
     /// Attempts written whole since the start.
     pub backend_calls: u64,
     /// Requests taken and not ended.
@@ -22,12 +22,12 @@
 
 /// Counts of answers by class.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// Served, refused, failed.
     classes: Vec<[u64; 3]>,
 }
 
-impl Observer for Figures {
+impl Observer for Metrics {
     fn tell(&mut self, told: &Told<'_>) {
         let Told::Answered(how, class) = told else { return };
         let class = *class as usize;
@@ -43,9 +43,9 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     /// All of them, a line each; every class is there from the start.
-    pub fn write(&self, classes: &[String], now: &Now) -> String {
+    pub fn write(&self, classes: &[String], now: &Gauges) -> String {
         let mut out = String::new();
         let none = [0; 3];
         for (i, class) in classes.iter().enumerate() {
@@ -71,11 +71,11 @@
 
     #[test]
     fn each_answer_counts_once_under_its_class_and_how_it_went() {
-        let mut figures = Figures::default();
+        let mut figures = Metrics::default();
         let all = [(Final::Served, 1), (Final::Served, 1), (Final::Refused, 0), (Final::Failed, 1)];
         all.iter().for_each(|(how, class)| figures.tell(&Told::Answered(*how, *class)));
         figures.tell(&Told::Arrived);
-        let now = Now { backend_calls: 7, inflight: 2, hosts_listed: 12, hosts_down: 3 };
+        let now = Gauges { backend_calls: 7, inflight: 2, hosts_listed: 12, hosts_down: 3 };
         let text = figures.write(&["read".into(), "put".into(), "rare".into()], &now);
         let mut lines: Vec<&str> = text.lines().collect();
         lines.sort_unstable();
--- a/crates/proxy/src/observers.rs
+++ b/crates/proxy/src/observers.rs
@@ -2,7 +2,7 @@
 //! that are told what became of it. Each is listed here once, in the order in which it acts; one that is
 //! switched off is `None` and costs a branch.
 
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::request::Query;
 use calicosaddle::api::ServerId;
 use control::message::Counters;
@@ -122,7 +122,7 @@
     /// Counts, for controllers.
     pub counters: Counters,
     /// Counts by class, for operators.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// Those that want to know of pushes.
     pub subscribers: Vec<Box<dyn Subscriber>>,
 }
@@ -131,7 +131,7 @@
     /// Tells them all.
     pub fn tell(&mut self, told: Told<'_>) {
         self.counters.tell(&told);
-        self.figures.tell(&told);
+        self.metrics.tell(&told);
         if let Told::Push(server, told) = told {
             self.subscribers.iter_mut().for_each(|s| s.pushed(server, told));
         }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -40,7 +40,7 @@
     /// The client's repeat, where marked.
     pub repeat: bool,
     /// A write: over which addresses of which boxes its last byte went out, and may have arrived.
-    pub gone_over: RefCell<Vec<(ServerId, addresses::AddressId)>>,
+    pub sent_via: RefCell<Vec<(ServerId, addresses::AddressId)>>,
 }
 
 impl Query {
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// The error line for a client whose command can't be used.
-    pub fn read(command: Command, config: &Config) -> Result<Query, &'static str> {
+    pub fn parse(command: Command, config: &Config) -> Result<Query, &'static str> {
         let write = command.arg(0).eq_ignore_ascii_case(b"CACHE.SET");
         if command.arity() != if write { 5 } else { 4 } {
             return Err("-ERR wrong number of arguments\r\n");
@@ -97,8 +97,8 @@
         let hex = if name.len() <= 16 { u64::from_str_radix(name, 16).ok() } else { None };
         let key = hex.unwrap_or_else(|| server_id(&String::from_utf8_lossy(command.arg(1))));
         let class = class as u32;
-        let gone_over = RefCell::default();
-        Ok(Query { wait_at, class, tenant, key, write, wait, hint, repeat, gone_over, command })
+        let sent_via = RefCell::default();
+        Ok(Query { wait_at, class, tenant, key, write, wait, hint, repeat, sent_via, command })
     }
 
     /// Writes the command for a cache node, but for a write's value, with the time that the proxy will wait.
@@ -141,7 +141,7 @@
 
 /// A request's place on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ReplySlot {
     /// The connection.
     pub client: usize,
     /// Which of its commands.
@@ -193,7 +193,7 @@
 /// A request that is not answered, or has attempts out.
 #[derive(Debug)]
 struct Open {
-    place: Place,
+    place: ReplySlot,
     query: Rc<Query>,
     until: Nanos,
     attempts: u32,
@@ -242,7 +242,7 @@
     pub fn arrive(
         &mut self,
         id: RequestId,
-        place: Place,
+        place: ReplySlot,
         query: Rc<Query>,
         since: Nanos,
         now: Nanos,
@@ -325,7 +325,7 @@
 
     /// Where its answer goes and what its class is, once: a request that is answered, or whose client is gone,
     /// has no place.
-    pub fn answer(&mut self, id: RequestId) -> Option<(Place, u32)> {
+    pub fn answer(&mut self, id: RequestId) -> Option<(ReplySlot, u32)> {
         let open = self.open.get_mut(&id).filter(|o| !o.answered)?;
         open.answered = true;
         Some((open.place, open.query.class))
@@ -351,13 +351,13 @@
         let mut parser = CommandParser::new(Room::new(0));
         let bytes = b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\n1\r\n$1\r\na\r\n$12\r\nc=read,d=500\r\n";
         let (_, command) = parser.feed(bytes).expect("a command");
-        Rc::new(Query::read(command.expect("whole"), config).expect("a read"))
+        Rc::new(Query::parse(command.expect("whole"), config).expect("a read"))
     }
 
     #[test]
     fn a_request_has_one_answer_and_nothing_is_begun_for_it_afterwards() {
         let config = crate::platform::config::tests::sample();
-        let (mut table, place) = (Table::default(), Place { client: 3, number: 9 });
+        let (mut table, place) = (Table::default(), ReplySlot { client: 3, number: 9 });
         let (told, until) = table.arrive(1, place, query(&config), 0, MS).expect("taken");
         assert_eq!((told.remaining, until), (489 * MS, 490 * MS));
         // Another one under the same id of its client is not taken while the first is open.
@@ -381,7 +381,7 @@
     #[test]
     fn neither_late_nor_too_many_nor_left_attempts_go_out() {
         let config = crate::platform::config::tests::sample();
-        let place = Place { client: 0, number: 0 };
+        let place = ReplySlot { client: 0, number: 0 };
         let begin = |most: u32, now: Nanos, left: bool| {
             let mut table = Table::default();
             table.arrive(1, place, query(&config), 0, 0).expect("taken");
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -132,7 +132,7 @@
 
 /// Copying, with its connections.
 #[derive(Debug)]
-pub struct Copies {
+pub struct ShadowTraffic {
     shadow: Shadow,
     at: BTreeMap<u64, SocketAddr>,
     /// Candidates that are, or since the last start were, boxes of the list.
@@ -148,14 +148,14 @@
     seen: [u64; 2],
 }
 
-impl Copies {
+impl ShadowTraffic {
     /// Nothing is copied before it is started.
     pub fn new(told: &operator::Shadow, settings: Settings, config: &Config, kept: Kept, now: Nanos) -> Self {
         let at: BTreeMap<u64, SocketAddr> =
             told.candidates.iter().map(|a| (server_id(&a.to_string()), *a)).collect();
         let mut shadow = Shadow::new(settings, kept, now);
         shadow.candidates(at.keys().copied().collect(), now);
-        Copies {
+        ShadowTraffic {
             shadow,
             at,
             live: BTreeSet::new(),
@@ -174,7 +174,7 @@
     }
 
     /// There are so many proxies, and this is the one with this index.
-    pub fn proxies(&mut self, config: &Config) {
+    pub fn set_proxies(&mut self, config: &Config) {
         let [all, this] = proxies(config);
         self.shadow.proxies(all, this);
     }
@@ -238,7 +238,7 @@
         let mut stream = TcpStream::connect(*self.at.get(&candidate)?).ok()?;
         let _ = stream.set_nodelay(true);
         let entry = self.links.vacant_entry();
-        let token = Source::Candidate(entry.key()).token();
+        let token = Source::ShadowConnection(entry.key()).token();
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).ok()?;
         let key = entry.key();
         entry.insert(Link {
@@ -441,78 +441,89 @@
 impl Proxy {
     /// What a request asked that is about to be answered, where copying has to hear of it.
     pub(crate) fn copied(&self, id: RequestId) -> Option<Rc<Query>> {
-        self.copies.as_ref().filter(|c| c.shadow.is_on()).and_then(|_| self.requests.asked(id).cloned())
+        self.shadow_traffic
+            .as_ref()
+            .filter(|c| c.shadow.is_on())
+            .and_then(|_| self.requests.asked(id).cloned())
     }
 
     /// A live box served a request, and its client has the answer.
     pub(crate) fn served(&mut self, query: &Rc<Query>, reply: &Reply, bytes: &[u8], took: Option<Nanos>) {
-        let begun = self.turn.clock.now();
-        let Some(copies) = &mut self.copies else { return };
+        let begun = self.event_loop.clock.now();
+        let Some(copies) = &mut self.shadow_traffic else { return };
         if query.write {
             copies.wrote(query.key);
             return;
         }
-        copies.read(query, reply, bytes, took, self.turn.now);
-        copies.shadow.worked(self.turn.clock.now().saturating_sub(begun), self.turn.now);
+        copies.read(query, reply, bytes, took, self.event_loop.now);
+        copies.shadow.worked(self.event_loop.clock.now().saturating_sub(begun), self.event_loop.now);
     }
 
     /// A live box begins to serve a long value. It is passed on as it comes, so that it can't be compared.
     pub(crate) fn serves_long(&mut self, query: &Rc<Query>, length: usize) {
-        if let Some(copies) = self.copies.as_mut().filter(|_| !query.write) {
-            copies.observe(query, Side::Error, length.max(copies.longest + 1), None, None, self.turn.now);
+        if let Some(copies) = self.shadow_traffic.as_mut().filter(|_| !query.write) {
+            copies.observe(
+                query,
+                Side::Error,
+                length.max(copies.longest + 1),
+                None,
+                None,
+                self.event_loop.now,
+            );
         }
     }
 
     /// Works for copies: the last thing in a turn.
-    pub(crate) fn copy(&mut self, events: &Events) {
-        let Some(copies) = &mut self.copies else { return };
+    pub(crate) fn run_shadow_traffic(&mut self, events: &Events) {
+        let Some(copies) = &mut self.shadow_traffic else { return };
         let woken = || {
-            let candidate = |source| if let Source::Candidate(key) = source { Some(key) } else { None };
+            let candidate =
+                |source| if let Source::ShadowConnection(key) = source { Some(key) } else { None };
             events.iter().filter_map(move |e| candidate(Source::of(e)))
         };
         if copies.chosen.is_empty() && woken().next().is_none() {
             return;
         }
-        self.turn.tick();
-        let begun = self.turn.now;
+        self.event_loop.tick();
+        let begun = self.event_loop.now;
         for key in woken() {
-            copies.ready(key, &mut self.buffer, self.turn.now);
+            copies.ready(key, &mut self.buffer, self.event_loop.now);
         }
-        let (registry, timers) = self.turn.parts();
+        let (registry, timers) = self.event_loop.parts();
         copies.send(registry, timers, begun);
-        let now = self.turn.clock.now();
+        let now = self.event_loop.clock.now();
         copies.shadow.worked(now.saturating_sub(begun), now);
     }
 
     /// Boxes have come or gone.
-    pub(crate) fn look_for_candidates(&mut self) {
-        if let Some(copies) = &mut self.copies {
-            copies.listed(|at| self.boxes.has_address(|dial| is(dial, at)), self.turn.now);
+    pub(crate) fn update_candidates(&mut self) {
+        if let Some(copies) = &mut self.shadow_traffic {
+            copies.listed(|at| self.boxes.has_address(|dial| is(dial, at)), self.event_loop.now);
         }
     }
 
     /// Looks at the live side on behalf of copying; the loop was so late for it.
-    pub(crate) fn sweep_copies(&mut self, late: Nanos) {
-        let Some(copies) = &mut self.copies else { return };
+    pub(crate) fn sweep_shadow_traffic(&mut self, late: Nanos) {
+        let Some(copies) = &mut self.shadow_traffic else { return };
         let counters = self.observers.counters;
         let room = self.config.max_open;
         let vitals = Vitals { loop_delay: late, open: self.requests.len(), room, ..Vitals::default() };
-        copies.sweep(vitals, [counters.served, counters.refused], self.turn.now);
-        self.keep_copies();
+        copies.sweep(vitals, [counters.served, counters.refused], self.event_loop.now);
+        self.persist_shadow_state();
     }
 
     /// Keeps what has to outlive the process, where that has changed.
-    pub(crate) fn keep_copies(&mut self) {
-        let Some(copies) = &self.copies else { return };
+    pub(crate) fn persist_shadow_state(&mut self) {
+        let Some(copies) = &self.shadow_traffic else { return };
         let kept = copies.shadow.kept();
-        if kept != self.kept.state.shadow {
-            let state = State { shadow: kept, ..self.kept.state.clone() };
-            if let Err(e) = self.kept.store(state) {
+        if kept != self.persisted.state.shadow {
+            let state = State { shadow: kept, ..self.persisted.state.clone() };
+            if let Err(e) = self.persisted.store(state) {
                 eprintln!("shadow: {e}");
                 // What stands in memory is what counts; the file is tried again with the next change.
-                self.kept.state.shadow = kept;
+                self.persisted.state.shadow = kept;
             }
-            self.changes += 1;
+            self.change_count += 1;
         }
     }
 }
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -6,7 +6,7 @@
 //! connection, since that is how a client can tell that it is not whole, and so ends what is pipelined behind it.
 
 use crate::observers::{Final, Told};
-use crate::request::Place;
+use crate::request::ReplySlot;
 use crate::Proxy;
 use calicosaddle::api::RequestId;
 use resp::{Reply, Shape};
@@ -15,7 +15,7 @@
 /// A value on its way.
 #[derive(Debug)]
 struct Value {
-    place: Place,
+    place: ReplySlot,
     class: u32,
     /// The connection that it comes on.
     from: usize,
@@ -23,9 +23,9 @@
 
 /// All values on their way.
 #[derive(Debug, Default)]
-pub struct Passing(FxHashMap<RequestId, Value>);
+pub struct StreamedValues(FxHashMap<RequestId, Value>);
 
-impl Passing {
+impl StreamedValues {
     /// How many there are.
     pub fn len(&self) -> usize {
         self.0.len()
@@ -38,41 +38,41 @@
     pub(crate) fn begun(&mut self, id: RequestId, from: usize, shape: Shape, length: usize) {
         let Some((place, class)) = self.requests.answer(id) else { return };
         self.clients.begin(place, shape, length);
-        self.passing.0.insert(id, Value { place, class, from });
+        self.streamed_values.0.insert(id, Value { place, class, from });
     }
 
     /// A part of it has come.
     pub(crate) fn passed(&mut self, id: RequestId, bytes: &[u8]) {
-        let Some(value) = self.passing.0.get(&id) else { return };
+        let Some(value) = self.streamed_values.0.get(&id) else { return };
         if !self.clients.pass(value.place, bytes) {
-            self.boxes.pause(value.from, id, true, self.turn.now);
+            self.boxes.pause(value.from, id, true, self.event_loop.now);
         }
     }
 
     /// Its client has room for more.
     pub(crate) fn wanted(&mut self, id: RequestId) {
-        if let Some(value) = self.passing.0.get(&id) {
-            self.boxes.pause(value.from, id, false, self.turn.now);
+        if let Some(value) = self.streamed_values.0.get(&id) {
+            self.boxes.pause(value.from, id, false, self.event_loop.now);
         }
     }
 
     /// It is whole.
     pub(crate) fn passed_whole(&mut self, id: RequestId, reply: &Reply) {
-        let Some(value) = self.passing.0.remove(&id) else { return };
+        let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.tell(Told::Answered(Final::Served, value.class));
         self.clients.finish(value.place, reply);
     }
 
     /// Its node broke it off.
     pub(crate) fn cut(&mut self, id: RequestId) {
-        let Some(value) = self.passing.0.remove(&id) else { return };
+        let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.tell(Told::Answered(Final::Failed, value.class));
         self.clients.cut(value.place);
     }
 
     /// Its client is gone.
     pub(crate) fn no_longer_wanted(&mut self, id: RequestId) {
-        let Some(value) = self.passing.0.remove(&id) else { return };
+        let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.tell(Told::Abandoned);
         self.boxes.stop_passing(value.from, id);
     }
