--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -5,7 +5,7 @@
 use freshness::Stream;
 use rustc_hash::FxHashMap;
 use std::io::{self, BufRead, Write};
-use wire::Line;
+use wire::Message;
 
 /// The loop's state. The names of servers serve translation alone; no decision reads them.
 #[derive(Default)]
@@ -22,9 +22,9 @@
 impl Adapter {
     /// Takes one line; true when a reply is due.
     fn line(&mut self, line: &str) -> Result<bool, String> {
-        let parsed = wire::parse(line)?;
+        let parsed = wire::parse_message(line)?;
         if let Some((number, left)) = self.filling {
-            let Line::Entry(name, entry) = parsed else {
+            let Message::Entry(name, entry) = parsed else {
                 return Err(format!("list {number} lacks {left} entries"));
             };
             self.names.entry(entry.server).or_insert(name);
@@ -33,12 +33,12 @@
             return Ok(false);
         }
         match parsed {
-            Line::Frame(now) => self.now = now,
-            Line::Go => {
+            Message::BatchStart(now) => self.now = now,
+            Message::BatchEnd => {
                 self.reply.push_str("end\n");
                 return Ok(true);
             }
-            Line::Page { number, count } => {
+            Message::ListBuffer { index: number, entry_count: count } => {
                 if number > 15 {
                     return Err(format!("list number is over 15: {number}"));
                 }
@@ -46,23 +46,23 @@
                 self.pages[number].clear();
                 self.filling = (count > 0).then_some((number, count));
             }
-            Line::Entry(..) => return Err("entry without a list".into()),
-            Line::New { instance, seed, settings } => {
+            Message::Entry(..) => return Err("entry without a list".into()),
+            Message::InstanceStart { instance, seed, settings } => {
                 let stream = Stream::new(&settings, seed);
                 self.instances.insert(instance, (Brain::new(*settings, seed), stream));
             }
-            Line::Members { instance, kind, page } => {
+            Message::ListUpdate { instance, kind, buffer: page } => {
                 let entries = match kind {
                     ListKind::Failed => Vec::new(),
                     _ => self.pages.get(page).cloned().ok_or(format!("list {page} was never sent"))?,
                 };
                 self.event(instance, Event::List { kind, entries });
             }
-            Line::Stop(instance) => {
+            Message::InstanceStop(instance) => {
                 self.instances.remove(&instance);
             }
-            Line::Event(instance, event) => self.event(instance, event),
-            Line::Ignored => {}
+            Message::Event(instance, event) => self.event(instance, event),
+            Message::Ignored => {}
         }
         Ok(false)
     }
@@ -74,7 +74,7 @@
         stream.handle(self.now, &event, &mut self.actions);
         brain.handle(self.now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            wire::write(&mut self.reply, &instance, &action, |s| self.names.get(&s).cloned());
+            wire::write_action(&mut self.reply, &instance, &action, |s| self.names.get(&s).cloned());
         }
     }
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use calicosaddle::api::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use wire::Line;
+use wire::Message;
 
 fn converse(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_calicosaddle-adapter"))
@@ -60,18 +60,18 @@
 #[test]
 fn lines_keep_their_values() {
     let line = "report_back proxy_3 2526988522394052 1 node_abuevth done 18500000 1 2 3.5,-";
-    let Ok(Line::Event(
+    let Ok(Message::Event(
         instance,
         Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load }),
-    )) = wire::parse(line)
+    )) = wire::parse_message(line)
     else {
         panic!("not an outcome")
     };
     assert_eq!((instance.as_str(), id, attempt, elapsed), ("proxy_3", 2_526_988_522_394_052, 1, 18_500_000));
     assert_eq!((server, status, last, hit), (server_id("node_abuevth"), Status::Ok, true, Some(false)));
     assert!(load[0] == 3.5 && load[1].is_nan());
-    let Ok(Line::Event(_, Event::Arrival(r))) =
-        wire::parse("arrival proxy_3 7 1 - 91f03b7c55d20a64 -5 12000000 1.5 7")
+    let Ok(Message::Event(_, Event::Arrival(r))) =
+        wire::parse_message("arrival proxy_3 7 1 - 91f03b7c55d20a64 -5 12000000 1.5 7")
     else {
         panic!("not an arrival")
     };
@@ -93,7 +93,7 @@
         Action::Subscribe,
     ];
     for a in &actions {
-        wire::write(&mut out, "proxy_0", a, |_| Some("node_a".into()));
+        wire::write_action(&mut out, "proxy_0", a, |_| Some("node_a".into()));
     }
     let want = "deliver proxy_0 1 node_a 80\nabandon proxy_0 1 0\nbounce proxy_0 2 5\nabort proxy_0 3\n\
         arm proxy_0 4 6\nclose proxy_0 node_a\ntouch proxy_0 node_a\nstream_changes proxy_0 1\n";
--- a/crates/proxy/src/platform/config.rs
+++ b/crates/proxy/src/platform/config.rs
@@ -108,7 +108,7 @@
         let told = Value::Object(told.clone());
         let mut pairs = Vec::new();
         flatten("", &told, &mut pairs);
-        let settings = wire::settings(pairs.iter().map(String::as_str)).map_err(ConfigError::Bad)?;
+        let settings = wire::parse_settings(pairs.iter().map(String::as_str)).map_err(ConfigError::Bad)?;
         if settings.classes.is_empty() {
             return Err(ConfigError::Bad("settings.categories are missing".into()));
         }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,22 +5,22 @@
 
 /// A parsed input line.
 #[derive(Clone, Debug)]
-pub enum Line {
+pub enum Message {
     /// A batch begins at this time.
-    Frame(Nanos),
+    BatchStart(Nanos),
     /// The batch is complete.
-    Go,
+    BatchEnd,
     /// A numbered list follows, of so many entries.
-    Page {
+    ListBuffer {
         /// List number, 0 to 15.
-        number: usize,
+        index: usize,
         /// Entries to come.
-        count: usize,
+        entry_count: usize,
     },
     /// One entry of the list, with the server's name.
     Entry(String, Entry),
     /// An instance starts.
-    New {
+    InstanceStart {
         /// Instance.
         instance: String,
         /// Its random seed.
@@ -29,16 +29,16 @@
         settings: Box<Settings>,
     },
     /// An instance is told of servers; the entries stand in a page.
-    Members {
+    ListUpdate {
         /// Instance.
         instance: String,
         /// What the entries are.
         kind: ListKind,
         /// The page.
-        page: usize,
+        buffer: usize,
     },
     /// An instance is gone.
-    Stop(String),
+    InstanceStop(String),
     /// Any other event of an instance.
     Event(String, Event),
     /// A message that this build does not use.
@@ -102,7 +102,7 @@
 }
 
 /// Parses one input line (without its line end).
-pub fn parse(line: &str) -> Result<Line, String> {
+pub fn parse_message(line: &str) -> Result<Message, String> {
     let mut parts = line.split(' ');
     let p = &mut parts;
     let parsed = match part(p, "message name")? {
@@ -126,9 +126,9 @@
             r.hint = r.hint.filter(|_| flags & 1 != 0);
             r.repeat = flags & 2 != 0;
             r.write = flags & 4 != 0;
-            Line::Event(instance, Event::Arrival(r))
+            Message::Event(instance, Event::Arrival(r))
         }
-        "report_back" => Line::Event(
+        "report_back" => Message::Event(
             instance(p)?,
             Event::Outcome(Outcome {
                 id: number(p, "corr")?,
@@ -141,10 +141,10 @@
                 load: load(p)?,
             }),
         ),
-        "tick_due" => Line::Event(instance(p)?, Event::Timer(number(p, "handle")?)),
-        "expired" => Line::Event(instance(p)?, Event::Expired(number(p, "corr")?)),
-        "first" => Line::Event(instance(p)?, Event::First(number(p, "corr")?)),
-        "sampled" => Line::Event(
+        "tick_due" => Message::Event(instance(p)?, Event::Timer(number(p, "handle")?)),
+        "expired" => Message::Event(instance(p)?, Event::Expired(number(p, "corr")?)),
+        "first" => Message::Event(instance(p)?, Event::First(number(p, "corr")?)),
+        "sampled" => Message::Event(
             instance(p)?,
             Event::Probed {
                 server: server_id(part(p, "node")?),
@@ -163,14 +163,14 @@
                 v => return Err(format!("scope is unknown: {v:?}")),
             };
             let _version = part(p, "index")?;
-            let page = match p.next() {
+            let buffer = match p.next() {
                 Some(v) if kind != ListKind::Failed => {
                     v.parse().map_err(|_| format!("buffer is not a number: {v:?}"))?
                 }
                 None if kind != ListKind::Failed => return Err("buffer is missing".into()),
                 _ => 0,
             };
-            Line::Members { instance, kind, page }
+            Message::ListUpdate { instance, kind, buffer }
         }
         "entry" => {
             let name = part(p, "node")?.to_owned();
@@ -186,18 +186,18 @@
             };
             let weight = optional(p, "share")?.unwrap_or(1.0);
             let started = optional(p, "launched_ns")?.unwrap_or(0);
-            Line::Entry(name, Entry { server, zone, kind, cell, state, weight, started })
+            Message::Entry(name, Entry { server, zone, kind, cell, state, weight, started })
         }
-        "page" => Line::Page { number: number(p, "buffer")?, count: number(p, "records")? },
-        "frame" => Line::Frame(number(p, "clock")?),
-        "go" => Line::Go,
+        "page" => Message::ListBuffer { index: number(p, "buffer")?, entry_count: number(p, "records")? },
+        "frame" => Message::BatchStart(number(p, "clock")?),
+        "go" => Message::BatchEnd,
         "new_instance" => {
             let instance = instance(p)?;
             let seed = number(p, "salt")?;
-            Line::New { instance, seed, settings: Box::new(settings(p)?) }
+            Message::InstanceStart { instance, seed, settings: Box::new(parse_settings(p)?) }
         }
-        "shutdown" => Line::Stop(instance(p)?),
-        "peer" => Line::Ignored,
+        "shutdown" => Message::InstanceStop(instance(p)?),
+        "peer" => Message::Ignored,
         v => return Err(format!("message is unknown: {v:?}")),
     };
     Ok(parsed)
@@ -209,7 +209,7 @@
 }
 
 /// Reads settings from their `path=value` pairs; unknown paths are skipped.
-pub fn settings<'a>(p: impl Iterator<Item = &'a str>) -> Result<Settings, String> {
+pub fn parse_settings<'a>(p: impl Iterator<Item = &'a str>) -> Result<Settings, String> {
     let mut s = Settings::default();
     let mut origin = -1i64;
     for pair in p {
@@ -320,7 +320,12 @@
 }
 
 /// Appends one action of an instance to a reply; `name` gives the wire name of a server.
-pub fn write(out: &mut String, instance: &str, action: &Action, name: impl Fn(ServerId) -> Option<String>) {
+pub fn write_action(
+    out: &mut String,
+    instance: &str,
+    action: &Action,
+    name: impl Fn(ServerId) -> Option<String>,
+) {
     let named = |s: &ServerId| name(*s).unwrap_or_default();
     // Writing to a string cannot fail.
     let _ = match action {
