--- a/crates/calicosaddle/tests/common/mod.rs
+++ b/crates/calicosaddle/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hand-driven proxy for the module's tests: it keeps the clock, the list and what the module did.
+//! Test driver for the balancer: holds the clock, feeds events and returns the resulting actions.
 #![allow(dead_code)]
 
 use calicosaddle::api::*;
@@ -7,7 +7,11 @@
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
 
-pub fn settings() -> Settings {
+/// Default duration of an attempt.
+const ATTEMPT_DURATION: Nanos = 20 * MS;
+
+/// Settings of one of four proxies with a single safe request class; hedging and cancellation are allowed.
+pub fn default_settings() -> Settings {
     Settings {
         classes: vec![Class {
             aim: 300 * MS,
@@ -31,13 +35,14 @@
     }
 }
 
-pub fn entry(n: u64) -> Entry {
-    let server = server_id(&format!("server-{n}"));
+/// A ready, warmed-up server `server-{number}`; servers are distributed over three zones and six cells.
+pub fn entry(number: u64) -> Entry {
+    let server = server_id(&format!("server-{number}"));
     Entry {
         server,
-        zone: (n % 3) as u32,
+        zone: (number % 3) as u32,
         kind: 0,
-        cell: (n % 6) as u32,
+        cell: (number % 6) as u32,
         state: State::Ready,
         weight: 1.0,
         started: 0,
@@ -48,45 +53,49 @@
     numbers.map(entry).collect()
 }
 
-pub struct Proxy {
-    pub brain: Brain,
+/// One proxy's balancer with a clock that the test advances.
+pub struct TestProxy {
+    pub balancer: Brain,
     pub now: Nanos,
-    next: RequestId,
+    next_request: RequestId,
 }
 
-impl Proxy {
+impl TestProxy {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Proxy { brain: Brain::new(settings, seed), now: 1000 * SECOND, next: 1 }
+        TestProxy { balancer: Brain::new(settings, seed), now: 1000 * SECOND, next_request: 1 }
     }
 
-    pub fn with(settings: Settings, list: Vec<Entry>) -> Self {
-        let mut p = Self::new(settings, 7);
-        p.list(ListKind::Cached, list);
-        p
+    /// A proxy that starts with a cached server list.
+    pub fn with_servers(settings: Settings, servers: Vec<Entry>) -> Self {
+        let mut proxy = Self::new(settings, 7);
+        proxy.update_list(ListKind::Cached, servers);
+        proxy
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
+        self.handle(Event::List { kind, entries })
     }
 
-    /// A request of class 0; returns its id and what was done.
-    pub fn ask(&mut self, key: u64) -> (RequestId, Vec<Action>) {
-        self.ask_as(Request { key: Some(key), remaining: 800 * MS, ..Request::default() })
+    /// Submits a request of class 0 for `key`; returns its id and the resulting actions.
+    pub fn request(&mut self, key: u64) -> (RequestId, Vec<Action>) {
+        self.submit(Request { key: Some(key), remaining: 800 * MS, ..Request::default() })
     }
 
-    pub fn ask_as(&mut self, mut request: Request) -> (RequestId, Vec<Action>) {
-        request.id = self.next;
-        self.next += 1;
-        (request.id, self.event(Event::Arrival(request)))
+    /// Submits `request` under the next free id; returns that id and the resulting actions.
+    pub fn submit(&mut self, mut request: Request) -> (RequestId, Vec<Action>) {
+        request.id = self.next_request;
+        self.next_request += 1;
+        (request.id, self.handle(Event::Arrival(request)))
     }
 
-    pub fn end(
+    /// Reports the end of an attempt that took [`ATTEMPT_DURATION`].
+    pub fn finish_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -94,10 +103,11 @@
         status: Status,
         hit: Option<bool>,
     ) -> Vec<Action> {
-        self.end_after(id, attempt, server, status, hit, 20 * MS)
+        self.finish_attempt_after(id, attempt, server, status, hit, ATTEMPT_DURATION)
     }
 
-    pub fn end_after(
+    /// Reports the end of an attempt that took `elapsed`. A successful attempt also ends its request.
+    pub fn finish_attempt_after(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -107,32 +117,35 @@
         elapsed: Nanos,
     ) -> Vec<Action> {
         let last = status == Status::Ok;
-        self.event(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load: vec![] }))
+        self.handle(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load: vec![] }))
     }
 
-    /// Asks, answers and returns the server that was asked first.
-    pub fn served(&mut self, key: u64, hit: bool) -> ServerId {
-        let (id, actions) = self.ask(key);
-        let server = sent(&actions).expect("sent");
-        self.now += 20 * MS;
-        self.end(id, 0, server, Status::Ok, Some(hit));
-        // Requests far enough apart that no bucket counts as hot.
+    /// Submits a request, reports success for its first attempt and returns the server of that attempt.
+    ///
+    /// The clock advances by [`ATTEMPT_DURATION`], which keeps requests far enough apart that no bucket counts as hot.
+    pub fn serve(&mut self, key: u64, hit: bool) -> ServerId {
+        let (id, actions) = self.request(key);
+        let server = sent_server(&actions).expect("the request is sent");
+        self.now += ATTEMPT_DURATION;
+        self.finish_attempt(id, 0, server, Status::Ok, Some(hit));
         server
     }
 
-    /// Fills the traffic count with other keys, so that the key under test is one of many.
-    pub fn crowd(&mut self, keys: std::ops::Range<u64>) {
-        for k in keys {
+    /// Serves hits for keys that no test checks, so that the key under test is not a hot one.
+    pub fn serve_background_keys(&mut self, numbers: std::ops::Range<u64>) {
+        for number in numbers {
             self.now += MS;
-            self.served(0x9999_0000 + k * 7919, true);
+            self.serve(0x9999_0000 + number * 7919, true);
         }
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+/// The server of the first attempt that `actions` send.
+pub fn sent_server(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+/// The number of unsuccessful final answers in `actions`.
+pub fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
 }
--- a/crates/calicosaddle/tests/decisions.rs
+++ b/crates/calicosaddle/tests/decisions.rs
@@ -1,1006 +1,1098 @@
-//! The module's decisions, one behaviour a test.
+//! Tests of the balancer's decisions, one behaviour per test.
 
 mod common;
 use calicosaddle::api::*;
 use common::*;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 const KEY: u64 = 0xabcdef;
 
-/// The settings of one of a hundred proxies.
-fn thin(me: u32) -> Settings {
-    Settings { proxies: 100, me, zone: me % 3, ..settings() }
+/// Settings of proxy `me` of a hundred.
+fn settings_of_hundred(me: u32) -> Settings {
+    Settings { proxies: 100, me, zone: me % 3, ..default_settings() }
 }
 
-/// The next of a row of keys without end.
+/// Advances a linear congruential generator of keys.
 fn next_key(state: &mut u64) -> u64 {
     *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
     *state >> 20
 }
 
-/// Where each of many keys goes first, at a proxy with this history of lists that has seen some traffic.
-fn homes(histories: &[(ListKind, Vec<Entry>)]) -> BTreeMap<u64, ServerId> {
-    let mut p = Proxy::new(settings(), 5);
-    for (kind, entries) in histories {
-        p.list(*kind, entries.clone());
+/// Applies the list updates at a new proxy, then maps each of 400 keys to the server of its first attempt.
+fn first_servers(list_updates: &[(ListKind, Vec<Entry>)]) -> BTreeMap<u64, ServerId> {
+    let mut proxy = TestProxy::new(default_settings(), 5);
+    for (kind, entries) in list_updates {
+        proxy.update_list(*kind, entries.clone());
     }
-    p.crowd(0..300);
-    (0..400u64).map(|key| (key, p.served(key * 0x1234_5677, true))).collect()
+    proxy.serve_background_keys(0..300);
+    (0..400u64).map(|key| (key, proxy.serve(key * 0x1234_5677, true))).collect()
 }
 
 #[test]
-fn straight_hits_pin_and_the_pin_stays_through_misses() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..300);
-    let first = p.served(KEY, true);
+fn consecutive_hits_pin_a_bucket_and_later_misses_do_not_unpin_it() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..300);
+    let first = proxy.serve(KEY, true);
     for _ in 0..3 {
-        assert_eq!(p.served(KEY, true), first);
-        p.crowd(0..100);
+        assert_eq!(proxy.serve(KEY, true), first);
+        proxy.serve_background_keys(0..100);
     }
     for _ in 0..4 {
-        assert_eq!(p.served(KEY, false), first, "a pinned bucket stays");
-        p.crowd(0..100);
+        assert_eq!(proxy.serve(KEY, false), first, "a miss moved a pinned bucket");
+        proxy.serve_background_keys(0..100);
     }
 }
 
 #[test]
-fn misses_move_an_undecided_bucket_to_its_other_candidate() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..300);
-    let mut asked = Vec::new();
+fn misses_move_an_unpinned_bucket_only_to_its_other_candidate() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..300);
+    let mut servers = Vec::new();
     for _ in 0..8 {
-        asked.push(p.served(KEY, false));
-        p.crowd(0..100);
+        servers.push(proxy.serve(KEY, false));
+        proxy.serve_background_keys(0..100);
     }
-    asked.sort_unstable();
-    asked.dedup();
-    assert_eq!(asked.len(), 2, "sigma candidates, and no other server");
+    servers.sort_unstable();
+    servers.dedup();
+    assert_eq!(servers.len(), 2, "a bucket has SIGMA = 2 candidates");
 }
 
 #[test]
-fn a_pin_reopens_when_its_server_is_gone() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..300);
-    let first = p.served(KEY, true);
+fn a_pinned_bucket_moves_to_one_other_server_when_its_server_is_removed() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..300);
+    let first = proxy.serve(KEY, true);
     for _ in 0..4 {
-        p.served(KEY, true);
-        p.crowd(0..100);
+        proxy.serve(KEY, true);
+        proxy.serve_background_keys(0..100);
     }
-    let gone = entries(0..20).into_iter().find(|e| e.server == first).expect("listed");
-    p.list(ListKind::Delta, vec![Entry { state: State::Gone, ..gone }]);
-    let next = p.served(KEY, true);
+    let removed = entries(0..20).into_iter().find(|e| e.server == first).expect("a listed server");
+    proxy.update_list(ListKind::Delta, vec![Entry { state: State::Gone, ..removed }]);
+    let next = proxy.serve(KEY, true);
     assert_ne!(next, first);
-    p.crowd(0..100);
-    assert_eq!(p.served(KEY, true), next);
+    proxy.serve_background_keys(0..100);
+    assert_eq!(proxy.serve(KEY, true), next);
 }
 
 #[test]
-fn candidates_do_not_depend_on_the_history_of_the_list() {
+fn candidates_do_not_depend_on_the_order_or_history_of_list_updates() {
     let full = entries(0..30);
     let mut reversed = full.clone();
     reversed.reverse();
-    let straight = homes(&[(ListKind::Cached, full.clone())]);
-    let other = homes(&[
+    let from_one_list = first_servers(&[(ListKind::Cached, full.clone())]);
+    let from_several_lists = first_servers(&[
         (ListKind::Cached, entries(10..60)),
         (ListKind::Full, entries(25..50)),
         (ListKind::Full, reversed),
     ]);
-    assert_eq!(straight, other);
+    assert_eq!(from_one_list, from_several_lists);
 }
 
 #[test]
-fn a_removed_server_disturbs_only_its_own_keys() {
-    let before = homes(&[(ListKind::Cached, entries(0..30))]);
-    let after = homes(&[(ListKind::Cached, entries(1..30))]);
+fn removing_a_server_moves_only_its_own_keys() {
+    let before = first_servers(&[(ListKind::Cached, entries(0..30))]);
+    let after = first_servers(&[(ListKind::Cached, entries(1..30))]);
     let removed = entry(0).server;
-    for (key, home) in &before {
-        if *home != removed {
-            assert_eq!(after[key], *home);
+    for (key, server) in &before {
+        if *server != removed {
+            assert_eq!(after[key], *server);
         }
     }
-    assert!(before.values().any(|h| *h == removed));
+    assert!(before.values().any(|server| *server == removed));
 }
 
 #[test]
-fn weights_decide_how_many_keys_a_server_gets() {
+fn a_server_gets_keys_in_proportion_to_its_weight() {
     let mut list = entries(0..10);
     list[0].weight = 4.0;
     let heavy = list[0].server;
-    let homes = homes(&[(ListKind::Cached, list)]);
-    let part = homes.values().filter(|h| **h == heavy).count();
-    assert!((80..180).contains(&part), "4 of 13 parts of 400 keys, not {part}");
+    let servers = first_servers(&[(ListKind::Cached, list)]);
+    let keys = servers.values().filter(|server| **server == heavy).count();
+    assert!((80..180).contains(&keys), "expected about 4/13 of 400 keys, got {keys}");
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
+fn a_draining_server_gets_no_new_requests() {
     let mut list = entries(0..3);
-    let mut p = Proxy::with(settings(), list.clone());
+    let mut proxy = TestProxy::with_servers(default_settings(), list.clone());
     list[0].state = State::Draining;
-    p.list(ListKind::Delta, vec![list[0].clone()]);
+    proxy.update_list(ListKind::Delta, vec![list[0].clone()]);
     for key in 0..200 {
-        assert_ne!(p.served(key * 977, true), list[0].server);
+        assert_ne!(proxy.serve(key * 977, true), list[0].server);
     }
 }
 
 #[test]
 fn a_hot_key_is_spread_over_several_servers() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    let mut asked = std::collections::BTreeSet::new();
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
     for i in 0..200u64 {
-        p.now += 2 * MS;
-        asked.insert(p.served(if i % 2 == 0 { KEY } else { i * 7919 }, true));
-        p.now += 2 * MS;
+        proxy.now += 2 * MS;
+        proxy.serve(if i % 2 == 0 { KEY } else { i * 7919 }, true);
+        proxy.now += 2 * MS;
     }
-    let on_key: std::collections::BTreeSet<_> = (0..20).map(|_| p.served(KEY, true)).collect();
-    assert!(on_key.len() >= 4, "half of all traffic on {} servers", on_key.len());
+    let servers: BTreeSet<_> = (0..20).map(|_| proxy.serve(KEY, true)).collect();
+    assert!(servers.len() >= 4, "half of all traffic goes to {} servers, expected at least 4", servers.len());
 }
 
 #[test]
-fn a_silent_server_is_left_and_tried_again_later() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..100);
-    let first = p.served(KEY, true);
-    let mut left = false;
+fn a_server_that_times_out_is_ejected_and_used_again_after_its_ejection() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..100);
+    let first = proxy.serve(KEY, true);
+    let mut ejected = false;
     for _ in 0..3 {
-        let (id, actions) = p.ask(KEY);
-        let server = sent(&actions).expect("sent");
-        left |= server != first;
-        p.now += 400 * MS;
-        p.end_after(id, 0, server, Status::Timeout, None, 400 * MS);
-        p.crowd(0..5);
-    }
-    assert!(left, "time-outs in a row must send the key elsewhere");
-    p.now += 60 * SECOND;
-    p.crowd(0..300);
-    let mut back = Vec::new();
+        let (id, actions) = proxy.request(KEY);
+        let server = sent_server(&actions).expect("the request is sent");
+        ejected |= server != first;
+        proxy.now += 400 * MS;
+        proxy.finish_attempt_after(id, 0, server, Status::Timeout, None, 400 * MS);
+        proxy.serve_background_keys(0..5);
+    }
+    assert!(ejected, "the key stayed on its server through three consecutive time-outs");
+    proxy.now += 60 * SECOND;
+    proxy.serve_background_keys(0..300);
+    let mut servers = Vec::new();
     for _ in 0..4 {
-        back.push(p.served(KEY, true));
-        p.crowd(0..100);
+        servers.push(proxy.serve(KEY, true));
+        proxy.serve_background_keys(0..100);
     }
-    assert!(back.contains(&first), "after its suspicion the server is tried again");
+    assert!(servers.contains(&first), "the server was not used again after its ejection");
 }
 
 #[test]
-fn a_silent_server_is_not_cleared_by_what_it_turns_away() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..100);
-    let first = p.served(KEY, true);
+fn rejections_do_not_reset_the_consecutive_failures_of_a_silent_server() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..100);
+    let first = proxy.serve(KEY, true);
     for _ in 0..3 {
         for status in [Status::Timeout, Status::Full] {
-            let (id, actions) = p.ask(KEY);
-            if sent(&actions) != Some(first) {
+            let (id, actions) = proxy.request(KEY);
+            if sent_server(&actions) != Some(first) {
                 return;
             }
-            p.now += 400 * MS;
-            p.end_after(id, 0, first, status, None, 400 * MS);
+            proxy.now += 400 * MS;
+            proxy.finish_attempt_after(id, 0, first, status, None, 400 * MS);
         }
-        p.crowd(0..5);
+        proxy.serve_background_keys(0..5);
     }
-    panic!("three time-outs, and the key still goes there");
+    panic!("three time-outs with rejections in between did not eject the server");
 }
 
 #[test]
-fn a_server_is_left_when_all_its_connections_break_not_for_some() {
+fn a_server_is_ejected_for_one_refused_but_only_for_several_broken_connections() {
     for (status, rounds) in [(Status::Reset, 2..=4), (Status::Spoilt, 2..=4), (Status::ConnectFailed, 1..=1)]
     {
-        let mut p = Proxy::with(settings(), entries(0..20));
-        p.crowd(0..400);
-        let first = p.served(KEY, true);
-        let mut kept = 0;
+        let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+        proxy.serve_background_keys(0..400);
+        let first = proxy.serve(KEY, true);
+        let mut rounds_until_ejection = 0;
         for _ in 0..8 {
-            let (id, mut actions) = p.ask(KEY);
-            if sent(&actions) != Some(first) {
+            let (id, mut actions) = proxy.request(KEY);
+            if sent_server(&actions) != Some(first) {
                 break;
             }
-            // It breaks at each attempt, other servers answer.
+            // Each attempt at the key's server ends with `status`; other servers answer.
             for attempt in 0.. {
-                let Some(server) = sent(&actions) else { break };
-                let end = if server == first { status } else { Status::Ok };
-                actions = p.end(id, attempt, server, end, None);
+                let Some(server) = sent_server(&actions) else { break };
+                let status = if server == first { status } else { Status::Ok };
+                actions = proxy.finish_attempt(id, attempt, server, status, None);
             }
-            kept += 1;
+            rounds_until_ejection += 1;
         }
-        assert!(rounds.contains(&kept), "{status:?}: asked in {kept} rounds");
+        assert!(
+            rounds.contains(&rounds_until_ejection),
+            "{status:?}: ejected after {rounds_until_ejection} rounds, expected {rounds:?}"
+        );
     }
 }
 
 #[test]
-fn a_server_that_turns_requests_away_is_sent_fewer_at_once() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..400);
-    let first = (0..5).map(|_| p.served(KEY, true)).last().expect("one");
-    let (one, actions) = p.ask(KEY);
-    assert_eq!(sent(&actions), Some(first));
-    // It has no room for two.
-    let mut turned_away = 0;
+fn rejections_lower_the_number_of_concurrent_requests_to_a_server() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..400);
+    let first = (0..5).map(|_| proxy.serve(KEY, true)).last().expect("five requests");
+    let (pending, actions) = proxy.request(KEY);
+    assert_eq!(sent_server(&actions), Some(first));
+    // The server has capacity for one request at a time.
+    let mut rejected = 0;
     for _ in 0..8 {
-        let (two, actions) = p.ask(KEY);
-        let mut server = sent(&actions).expect("sent");
+        let (id, actions) = proxy.request(KEY);
+        let mut server = sent_server(&actions).expect("the request is sent");
         if server == first {
-            turned_away += 1;
-            server = sent(&p.end(two, 0, first, Status::Full, None)).expect("sent again");
-            p.end(two, 1, server, Status::Ok, Some(false));
+            rejected += 1;
+            let actions = proxy.finish_attempt(id, 0, first, Status::Full, None);
+            server = sent_server(&actions).expect("the request is retried");
+            proxy.finish_attempt(id, 1, server, Status::Ok, Some(false));
         } else {
-            p.end(two, 0, server, Status::Ok, Some(false));
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(false));
         }
     }
-    assert!((1..6).contains(&turned_away), "{turned_away} of 8 were sent there");
-    // One at a time it goes on to take.
-    p.end(one, 0, first, Status::Ok, Some(true));
-    assert_eq!(p.served(KEY, true), first);
+    assert!((1..6).contains(&rejected), "{rejected} of 8 requests went to the full server, expected 1 to 5");
+    // One request at a time still goes there.
+    proxy.finish_attempt(pending, 0, first, Status::Ok, Some(true));
+    assert_eq!(proxy.serve(KEY, true), first);
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_it_can_bear() {
-    // Danger: a burst of hot keys soon after a start pushes a cold server over for good.
+fn a_burst_does_not_overload_a_server_in_slow_start() {
+    // Without a limit, a burst of hot keys soon after a start overloads the server permanently.
     let mut list = entries(0..4);
-    let mut p = Proxy::with(settings(), list.clone());
+    let mut proxy = TestProxy::with_servers(default_settings(), list.clone());
     for i in 0..2000u64 {
-        p.now += 2 * MS;
-        p.served(i * 7919, true);
+        proxy.now += 2 * MS;
+        proxy.serve(i * 7919, true);
     }
-    list[0].started = p.now;
-    let cold = list[0].server;
-    p.list(ListKind::Delta, vec![list[0].clone()]);
-    let mut to_cold = 0;
+    list[0].started = proxy.now;
+    let recovering = list[0].server;
+    proxy.update_list(ListKind::Delta, vec![list[0].clone()]);
+    let mut sent = 0;
     for i in 0..45u64 {
-        to_cold += usize::from(p.served(i * 7919, true) == cold);
+        sent += usize::from(proxy.serve(i * 7919, true) == recovering);
     }
-    // 45 requests in 0.9 s over four servers, one of them at a fifth: at three times that it would fall.
-    assert!(to_cold <= 7, "{to_cold} of 45");
+    // 45 requests in 0.9 s over four servers; one has a fifth of its capacity and is overloaded at three times that.
+    assert!(sent <= 7, "{sent} of 45 requests went to the recovering server, expected at most 7");
 }
 
 #[test]
-fn a_restarted_proxy_keeps_the_cold_budget() {
+fn a_restarted_proxy_does_not_overload_a_server_in_slow_start() {
     let mut list = entries(0..4);
     list[0].started = 999 * SECOND;
-    let mut p = Proxy::with(settings(), list.clone());
-    let to_cold = (0..200u64).filter(|i| p.served(i * 7919, true) == list[0].server).count();
-    assert!(to_cold <= 30, "{to_cold} of 200 at a proxy that knows nothing yet");
+    let mut proxy = TestProxy::with_servers(default_settings(), list.clone());
+    let sent = (0..200u64).filter(|i| proxy.serve(i * 7919, true) == list[0].server).count();
+    assert!(
+        sent <= 30,
+        "a new proxy sent {sent} of 200 requests to the recovering server, expected at most 30"
+    );
 }
 
-/// Asks 400 times, every 20 ms; each client leaves while so many others have asked. Tells how many were refused.
-fn left_after(p: &mut Proxy, others: usize) -> u32 {
+/// Submits 400 requests, one every 20 ms, that no server answers; each client leaves `later_requests` requests after
+/// its own. Returns the number of refused requests.
+fn refused_when_clients_leave(proxy: &mut TestProxy, later_requests: u64) -> u32 {
     let (mut refused, mut waiting) = (0, VecDeque::new());
     for i in 0..400u64 {
-        p.now += 20 * MS;
-        let (id, actions) = p.ask(i * 7919);
-        match sent(&actions) {
-            Some(_) => waiting.push_back((p.now, id)),
+        proxy.now += 20 * MS;
+        let (id, actions) = proxy.request(i * 7919);
+        match sent_server(&actions) {
+            Some(_) => waiting.push_back((proxy.now, id)),
             None => refused += 1,
         }
-        let until = p.now - others as u64 * 20 * MS;
-        while let Some((_, id)) = waiting.pop_front_if(|(at, _)| *at <= until) {
-            p.event(Event::Expired(id));
+        let latest_arrival = proxy.now - later_requests * 20 * MS;
+        while let Some((_, id)) = waiting.pop_front_if(|(arrived, _)| *arrived <= latest_arrival) {
+            proxy.handle(Event::Expired(id));
         }
     }
     refused
 }
 
 #[test]
-fn clients_that_leave_before_their_answer_is_due_are_no_jam() {
-    let mut p = Proxy::with(settings(), entries(0..10));
-    p.crowd(0..50);
-    assert_eq!(left_after(&mut p, 3), 0);
+fn clients_that_leave_before_their_answer_is_due_do_not_cause_shedding() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
+    proxy.serve_background_keys(0..50);
+    assert_eq!(refused_when_clients_leave(&mut proxy, 3), 0);
 }
 
 #[test]
-fn a_jam_is_shed_and_clears() {
-    // Danger: repeats keep servers jammed that go on with work nobody waits for.
-    let mut p = Proxy::with(settings(), entries(0..10));
-    p.crowd(0..50);
-    let refused = left_after(&mut p, 16);
-    assert!(refused > 200, "{refused} of 400 refused while nothing is served");
+fn overload_is_shed_and_all_requests_are_admitted_again_after_it() {
+    // Servers finish work whose client has left, so without shedding, retries keep them overloaded.
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
+    proxy.serve_background_keys(0..50);
+    let refused = refused_when_clients_leave(&mut proxy, 16);
+    assert!(refused > 200, "{refused} of 400 requests refused while no request is served, expected over 200");
     for i in 0..2000u64 {
-        p.now += 20 * MS;
-        let (id, actions) = p.ask(i * 7919);
-        if let Some(server) = sent(&actions) {
-            p.end(id, 0, server, Status::Ok, Some(true));
+        proxy.now += 20 * MS;
+        let (id, actions) = proxy.request(i * 7919);
+        if let Some(server) = sent_server(&actions) {
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         }
     }
-    let taken = (0..100u64).filter(|i| sent(&p.ask(i * 7919).1).is_some()).count();
-    assert_eq!(taken, 100, "all is taken again once it is served");
+    let admitted = (0..100u64).filter(|i| sent_server(&proxy.request(i * 7919).1).is_some()).count();
+    assert_eq!(admitted, 100, "requests are still refused after servers have answered for 40 s");
 }
 
 #[test]
-fn the_last_try_of_a_client_does_not_make_first_tries_look_late() {
-    // Danger: a last try is given all the time left, more than a first one; refusing by the longest time seen
-    // refuses nearly everything for good.
-    let mut p = Proxy::with(settings(), entries(0..10));
-    p.crowd(0..50);
-    let long = Request { key: Some(1), remaining: 790 * MS, ..Request::default() };
-    p.ask_as(long);
+fn a_last_try_with_more_time_left_does_not_make_first_tries_look_late() {
+    // A client gives its last try all the time it has left, more than a first try. If the longest time seen counted
+    // as the time of a first try, nearly every request would be refused permanently.
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
+    proxy.serve_background_keys(0..50);
+    let last_try = Request { key: Some(1), remaining: 790 * MS, ..Request::default() };
+    proxy.submit(last_try);
     for i in 0..300u64 {
-        p.now += 10 * MS;
-        let (id, _) = p.ask_as(Request { key: Some(i), remaining: 500 * MS, ..Request::default() });
+        proxy.now += 10 * MS;
+        let (id, _) = proxy.submit(Request { key: Some(i), remaining: 500 * MS, ..Request::default() });
         if i < 40 {
-            p.event(Event::Expired(id));
+            proxy.handle(Event::Expired(id));
         }
     }
-    let mut taken = 0;
+    let mut admitted = 0;
     for i in 0..1500u64 {
-        p.now += 10 * MS;
-        let (id, a) = p.ask_as(Request { key: Some(i * 31), remaining: 500 * MS, ..Request::default() });
-        if let Some(server) = sent(&a) {
-            taken += 1;
-            p.end(id, 0, server, Status::Ok, Some(true));
+        proxy.now += 10 * MS;
+        let (id, actions) =
+            proxy.submit(Request { key: Some(i * 31), remaining: 500 * MS, ..Request::default() });
+        if let Some(server) = sent_server(&actions) {
+            admitted += 1;
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         }
     }
-    assert!(taken > 800, "{taken} of 1500 taken");
+    assert!(admitted > 800, "{admitted} of 1500 requests admitted, expected over 800");
 }
 
 #[test]
-fn a_slow_answer_is_hedged_once_and_the_loser_cancelled() {
-    let mut p = Proxy::with(settings(), entries(0..10));
-    p.crowd(0..100);
-    let (id, actions) = p.ask(KEY);
-    let first = sent(&actions).expect("sent");
+fn a_slow_attempt_is_hedged_once_and_the_losing_attempt_is_cancelled() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
+    proxy.serve_background_keys(0..100);
+    let (id, actions) = proxy.request(KEY);
+    let first = sent_server(&actions).expect("the request is sent");
     let token =
         actions.iter().find_map(|a| if let Action::Timer { token, .. } = a { Some(*token) } else { None });
-    p.now += 150 * MS;
-    let second = sent(&p.event(Event::Timer(token.expect("timer")))).expect("hedged");
+    proxy.now += 150 * MS;
+    let second =
+        sent_server(&proxy.handle(Event::Timer(token.expect("a hedge timer")))).expect("a second attempt");
     assert_ne!(first, second);
-    let actions = p.end(id, 1, second, Status::Ok, Some(true));
+    let actions = proxy.finish_attempt(id, 1, second, Status::Ok, Some(true));
     assert!(actions.contains(&Action::Cancel { id, attempt: 0 }));
 }
 
 #[test]
-fn no_servers_no_time_and_odd_settings_are_answered() {
-    let mut p = Proxy::with(Settings::default(), Vec::new());
-    let (_, actions) = p.ask(1);
-    assert_eq!(finals(&actions), 1);
-    let mut p = Proxy::with(settings(), entries(0..3));
-    let (_, actions) = p.ask_as(Request { class: 9, key: None, remaining: 0, ..Request::default() });
-    assert_eq!(finals(&actions), 1);
-    let mut odd = entry(1);
-    odd.weight = f64::NAN;
-    p.list(ListKind::Full, vec![odd]);
-    assert!(sent(&p.ask(5).1).is_some());
-    assert!(p.end(999, 7, 1, Status::Ok, None).is_empty());
-    assert!(p.event(Event::Timer(u64::MAX)).is_empty());
+fn empty_lists_expired_requests_and_invalid_input_are_handled() {
+    let mut proxy = TestProxy::with_servers(Settings::default(), Vec::new());
+    let (_, actions) = proxy.request(1);
+    assert_eq!(final_answers(&actions), 1);
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..3));
+    let (_, actions) = proxy.submit(Request { class: 9, key: None, remaining: 0, ..Request::default() });
+    assert_eq!(final_answers(&actions), 1);
+    let mut invalid = entry(1);
+    invalid.weight = f64::NAN;
+    proxy.update_list(ListKind::Full, vec![invalid]);
+    assert!(sent_server(&proxy.request(5).1).is_some());
+    assert!(proxy.finish_attempt(999, 7, 1, Status::Ok, None).is_empty());
+    assert!(proxy.handle(Event::Timer(u64::MAX)).is_empty());
 }
 
 #[test]
-fn aside_misses_and_writes_go_to_the_origin_and_nothing_else_does() {
-    let mut s = settings();
-    s.aside = true;
-    s.origin_kind = Some(5);
+fn only_misses_and_writes_go_to_the_origin_of_a_cache_aside_fleet() {
+    let mut settings = default_settings();
+    settings.aside = true;
+    settings.origin_kind = Some(5);
     let mut list = entries(0..6);
     list[2].kind = 5;
     let origin = list[2].server;
-    let mut p = Proxy::with(s, list);
+    let mut proxy = TestProxy::with_servers(settings, list);
     for key in 0..50 {
-        assert_ne!(p.served(key * 7919, true), origin);
+        assert_ne!(proxy.serve(key * 7919, true), origin);
     }
-    let (id, actions) = p.ask(KEY);
-    let server = sent(&actions).expect("sent");
-    let actions = p.end(id, 0, server, Status::Miss, Some(false));
-    assert_eq!(sent(&actions), Some(origin));
+    let (id, actions) = proxy.request(KEY);
+    let server = sent_server(&actions).expect("the request is sent");
+    let actions = proxy.finish_attempt(id, 0, server, Status::Miss, Some(false));
+    assert_eq!(sent_server(&actions), Some(origin));
     let write = Request { key: Some(1), write: true, remaining: 500 * MS, ..Request::default() };
-    assert_eq!(sent(&p.ask_as(write).1), Some(origin));
+    assert_eq!(sent_server(&proxy.submit(write).1), Some(origin));
 }
 
 #[test]
-fn the_old_list_stays_in_use_when_a_call_for_a_new_one_fails() {
-    let mut p = Proxy::with(settings(), entries(0..5));
-    assert!(p.list(ListKind::Failed, Vec::new()).is_empty());
-    assert!(sent(&p.ask(1).1).is_some());
+fn the_last_server_list_stays_in_use_after_a_failed_update() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..5));
+    assert!(proxy.update_list(ListKind::Failed, Vec::new()).is_empty());
+    assert!(sent_server(&proxy.request(1).1).is_some());
 }
 
 #[test]
-fn a_proxy_with_an_old_list_gives_up_on_a_box_that_has_gone_by_evidence() {
-    let mut p = Proxy::with(Settings { proxies: 100, must_ask: true, ..settings() }, entries(0..60));
-    p.crowd(0..300);
-    let gone = p.served(KEY, true);
-    // A request every 60 ms, as one of a hundred proxies has; connections to the box are refused.
-    let (mut to_it, mut others) = (0, 0);
-    for k in 0..300u64 {
-        p.now += 60 * MS;
-        let (id, actions) = p.ask(if k % 3 == 0 { KEY } else { k * 7919 });
-        let server = sent(&actions).expect("sent");
-        if server == gone {
-            to_it += 1;
-            let actions = p.end(id, 0, server, Status::ConnectFailed, None);
-            let next = sent(&actions).expect("tried elsewhere");
-            assert_ne!(next, gone);
-            p.end(id, 1, next, Status::Ok, Some(true));
+fn refused_connections_eject_a_removed_server_that_an_outdated_list_still_names() {
+    let mut proxy = TestProxy::with_servers(
+        Settings { proxies: 100, must_ask: true, ..default_settings() },
+        entries(0..60),
+    );
+    proxy.serve_background_keys(0..300);
+    let removed = proxy.serve(KEY, true);
+    // A request every 60 ms, the rate at one of a hundred proxies; the removed server's connections are refused.
+    let (mut sent_to_removed, mut sent_to_others) = (0, 0);
+    for i in 0..300u64 {
+        proxy.now += 60 * MS;
+        let (id, actions) = proxy.request(if i % 3 == 0 { KEY } else { i * 7919 });
+        let server = sent_server(&actions).expect("the request is sent");
+        if server == removed {
+            sent_to_removed += 1;
+            let actions = proxy.finish_attempt(id, 0, server, Status::ConnectFailed, None);
+            let next = sent_server(&actions).expect("a retry at another server");
+            assert_ne!(next, removed);
+            proxy.finish_attempt(id, 1, next, Status::Ok, Some(true));
         } else {
-            others += 1;
-            p.end(id, 0, server, Status::Ok, Some(true));
+            sent_to_others += 1;
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         }
     }
-    assert!(to_it <= 5 && others > 290, "{to_it} of 300 were sent to a box that has gone");
+    assert!(
+        sent_to_removed <= 5 && sent_to_others > 290,
+        "of 300 requests {sent_to_removed} went to the removed server (expected at most 5), {sent_to_others} to \
+         others (expected over 290)"
+    );
 }
 
 #[test]
-fn a_thin_proxy_leaves_a_silent_box_after_two_outcomes() {
-    let mut p = Proxy::with(Settings { proxies: 100, ..settings() }, entries(0..60));
-    p.crowd(0..300);
-    // Once a second or less, so that no third silence is waited for.
-    for k in 0..600u64 {
-        p.now += 60 * MS;
-        p.served(0x4444_0000 + k * 7919, true);
+fn a_proxy_with_little_traffic_ejects_a_silent_server_after_two_timeouts() {
+    let mut proxy = TestProxy::with_servers(Settings { proxies: 100, ..default_settings() }, entries(0..60));
+    proxy.serve_background_keys(0..300);
+    // Builds up a low request rate, at which the balancer must not wait for a third time-out.
+    for i in 0..600u64 {
+        proxy.now += 60 * MS;
+        proxy.serve(0x4444_0000 + i * 7919, true);
     }
-    let silent = p.served(KEY, true);
-    let mut outcomes = 0;
-    for k in 0..20u64 {
-        p.now += 60 * MS;
-        let (id, actions) = p.ask(KEY);
-        let server = sent(&actions).expect("sent");
+    let silent = proxy.serve(KEY, true);
+    let mut timeouts = 0;
+    for i in 0..20u64 {
+        proxy.now += 60 * MS;
+        let (id, actions) = proxy.request(KEY);
+        let server = sent_server(&actions).expect("the request is sent");
         if server == silent {
-            outcomes += 1;
-            p.end_after(id, 0, server, Status::Timeout, None, 400 * MS);
+            timeouts += 1;
+            proxy.finish_attempt_after(id, 0, server, Status::Timeout, None, 400 * MS);
         } else {
-            p.end(id, 0, server, Status::Ok, Some(true));
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         }
-        p.served(0x7777_0000 + k * 7919, true);
+        proxy.serve(0x7777_0000 + i * 7919, true);
     }
-    assert!(outcomes <= 2, "{outcomes} requests to a box that says nothing");
+    assert!(timeouts <= 2, "{timeouts} requests went to the silent server, expected at most 2");
 }
 
 #[test]
-fn six_in_ten_boxes_replaced_within_seconds_lose_their_keys_and_no_others() {
+fn replacing_six_in_ten_servers_within_seconds_rarely_moves_keys_of_the_others() {
     let (mut moved, mut stayed) = (0, 0);
     for me in 0..10 {
-        let mut p = Proxy::with(thin(me), entries(0..60));
-        p.crowd(0..200);
+        let mut proxy = TestProxy::with_servers(settings_of_hundred(me), entries(0..60));
+        proxy.serve_background_keys(0..200);
         let before: BTreeMap<u64, ServerId> =
-            (0..200u64).map(|k| (k * 7919, p.served(k * 7919, true))).collect();
-        // In six rounds six boxes drain, go, and as many new ones come, cold.
+            (0..200u64).map(|i| (i * 7919, proxy.serve(i * 7919, true))).collect();
+        // In each of six rounds, six servers drain and are removed, and six new ones start.
         for round in 0..6u64 {
-            let old = entries(round * 6..round * 6 + 6);
-            let old = |state| old.iter().map(|e| Entry { state, ..e.clone() }).collect::<Vec<_>>();
-            p.list(ListKind::Delta, old(State::Draining));
-            for k in 0..20u64 {
-                p.now += 60 * MS;
-                let server = p.served(0x5555_0000 + (round * 20 + k) * 7919, true);
-                assert!(old(State::Gone).iter().all(|e| e.server != server), "sent to a draining box");
+            let replaced = entries(round * 6..round * 6 + 6);
+            let replaced = |state| replaced.iter().map(|e| Entry { state, ..e.clone() }).collect::<Vec<_>>();
+            proxy.update_list(ListKind::Delta, replaced(State::Draining));
+            for i in 0..20u64 {
+                proxy.now += 60 * MS;
+                let server = proxy.serve(0x5555_0000 + (round * 20 + i) * 7919, true);
+                assert!(
+                    replaced(State::Gone).iter().all(|e| e.server != server),
+                    "sent to a draining server"
+                );
             }
-            p.list(ListKind::Delta, old(State::Gone));
-            let started = p.now;
+            proxy.update_list(ListKind::Delta, replaced(State::Gone));
+            let started = proxy.now;
             let new = entries(100 + round * 6..106 + round * 6).into_iter().map(|e| Entry { started, ..e });
-            p.list(ListKind::Delta, new.collect());
+            proxy.update_list(ListKind::Delta, new.collect());
         }
-        // Once the new ones are warm, all but the keys that they were given are where they were.
-        p.now += 30 * SECOND;
-        p.crowd(0..300);
-        let left: Vec<ServerId> = entries(36..60).iter().map(|e| e.server).collect();
+        // After the slow start of the new servers, keys move only to these.
+        proxy.now += 30 * SECOND;
+        proxy.serve_background_keys(0..300);
+        let remaining: Vec<ServerId> = entries(36..60).iter().map(|e| e.server).collect();
         let new: Vec<ServerId> = entries(100..136).iter().map(|e| e.server).collect();
-        for (key, server) in before.into_iter().filter(|(_, s)| left.contains(s)) {
-            let now_at = p.served(key, true);
-            assert!(left.contains(&now_at) || new.contains(&now_at), "sent to a box that has gone");
-            *(if now_at == server || new.contains(&now_at) { &mut stayed } else { &mut moved }) += 1;
+        for (key, old_server) in before.into_iter().filter(|(_, server)| remaining.contains(server)) {
+            let server = proxy.serve(key, true);
+            assert!(remaining.contains(&server) || new.contains(&server), "sent to a removed server");
+            *(if server == old_server || new.contains(&server) { &mut stayed } else { &mut moved }) += 1;
         }
     }
-    assert!(moved * 5 < stayed, "{moved} keys moved between boxes that stayed, {stayed} did not");
+    assert!(
+        moved * 5 < stayed,
+        "{moved} keys moved between remaining servers and {stayed} did not, expected over five times as many"
+    );
 }
 
 #[test]
-fn a_silence_weighs_by_how_often_this_proxy_sends_to_its_subset_and_not_by_the_whole_fleet() {
-    let mut p = Proxy::with(Settings { proxies: 300, ..settings() }, entries(0..200));
+fn the_ejection_threshold_follows_the_request_rate_per_server_of_the_subset_not_of_the_fleet() {
+    let mut proxy = TestProxy::with_servers(Settings { proxies: 300, ..default_settings() }, entries(0..200));
     for key in 0..400u64 {
-        p.now += 50 * MS;
-        p.served(key * 104_729, true);
+        proxy.now += 50 * MS;
+        proxy.serve(key * 104_729, true);
     }
-    // Twenty requests a second to seven servers: each is asked often enough for one silence to say little.
-    let (id, actions) = p.ask(7);
-    let first = sent(&actions).expect("sent");
-    p.end_after(id, 0, first, Status::Timeout, None, 400 * MS);
-    assert_eq!(p.brain.avoided(p.now), 0);
-    // The second says enough.
-    let (id, actions) = p.ask(7);
-    assert_eq!(sent(&actions), Some(first));
-    p.end_after(id, 0, first, Status::Timeout, None, 400 * MS);
-    assert_eq!(p.brain.avoided(p.now), 1);
+    // Seven servers share 20 requests per second: at about three each, one time-out is not enough to eject a server.
+    let (id, actions) = proxy.request(7);
+    let first = sent_server(&actions).expect("the request is sent");
+    proxy.finish_attempt_after(id, 0, first, Status::Timeout, None, 400 * MS);
+    assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+    // The second consecutive time-out is.
+    let (id, actions) = proxy.request(7);
+    assert_eq!(sent_server(&actions), Some(first));
+    proxy.finish_attempt_after(id, 0, first, Status::Timeout, None, 400 * MS);
+    assert_eq!(proxy.balancer.avoided(proxy.now), 1);
 }
 
 #[test]
-fn what_was_not_sent_says_nothing_of_its_server_and_a_repeat_of_it_costs_next_to_nothing() {
-    let mut p = Proxy::with(settings(), entries(0..30));
-    p.crowd(0..200);
+fn unsent_attempts_neither_eject_their_server_nor_exhaust_the_retry_budget() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..30));
+    proxy.serve_background_keys(0..200);
     for key in 0..300u64 {
-        p.now += 5 * MS;
-        let (id, actions) = p.ask(key * 104_729);
-        let first = sent(&actions).expect("sent");
-        let actions = p.end_after(id, 0, first, Status::Moot, None, 0);
-        let second = sent(&actions).unwrap_or_else(|| panic!("request {key} is not sent again: {actions:?}"));
-        assert!(second != first && p.brain.avoided(p.now) == 0, "request {key}");
-        p.end(id, 1, second, Status::Ok, Some(true));
+        proxy.now += 5 * MS;
+        let (id, actions) = proxy.request(key * 104_729);
+        let first = sent_server(&actions).expect("the request is sent");
+        let actions = proxy.finish_attempt_after(id, 0, first, Status::Moot, None, 0);
+        let second =
+            sent_server(&actions).unwrap_or_else(|| panic!("request {key} is not retried: {actions:?}"));
+        assert!(
+            second != first && proxy.balancer.avoided(proxy.now) == 0,
+            "request {key}: retried at the same server, or a server is ejected"
+        );
+        proxy.finish_attempt(id, 1, second, Status::Ok, Some(true));
     }
 }
 
 #[test]
-fn what_was_not_sent_took_nothing_of_what_a_cold_server_bears() {
+fn an_unsent_attempt_leaves_its_slow_start_capacity_to_the_next_request() {
     let started = 1000 * SECOND;
     let list: Vec<Entry> = entries(0..2).into_iter().map(|e| Entry { started, ..e }).collect();
-    let mut p = Proxy::with(settings(), list);
-    // What they bear at this moment is soon used up.
-    let mut out = 0;
-    while sent(&p.ask(out * 104_729).1).is_some() {
-        out += 1;
-        assert!(out < 50, "cold servers take {out} at once");
-    }
-    // Until one of them bears one more; that is never written, and the next may go in its place.
+    let mut proxy = TestProxy::with_servers(default_settings(), list);
+    // Use up what both servers may get at this moment.
+    let mut sent = 0;
+    while sent_server(&proxy.request(sent * 104_729).1).is_some() {
+        sent += 1;
+        assert!(sent < 50, "servers in slow start got {sent} requests at once");
+    }
+    // Wait until one of them may get one more request. That attempt is never sent, so the next request takes its place.
     let (id, server) = (0..150)
         .find_map(|_| {
-            p.now += 100 * MS;
-            let (id, actions) = p.ask(7);
-            Some((id, sent(&actions)?))
+            proxy.now += 100 * MS;
+            let (id, actions) = proxy.request(7);
+            Some((id, sent_server(&actions)?))
         })
-        .expect("they warm up");
-    assert!(sent(&p.ask(7).1).is_none());
-    let actions = p.end_after(id, 0, server, Status::Moot, None, 0);
-    assert!(sent(&actions).is_none(), "the other bears one more as well");
-    assert_eq!(sent(&p.ask(7).1), Some(server));
+        .expect("a server that may get one more request");
+    assert!(sent_server(&proxy.request(7).1).is_none());
+    let actions = proxy.finish_attempt_after(id, 0, server, Status::Moot, None, 0);
+    assert!(sent_server(&actions).is_none(), "the other server may get one more request too");
+    assert_eq!(sent_server(&proxy.request(7).1), Some(server));
 }
 
 #[test]
-fn a_cut_zone_is_left_alone_as_a_whole() {
-    // Danger: finding each of its servers silent by itself costs a lost request a server.
+fn an_unreachable_zone_is_ejected_as_a_whole() {
+    // Ejecting each server of the zone on its own would cost at least one lost request per server.
     let list = entries(0..90);
-    let mut p = Proxy::with(settings(), list.clone());
+    let mut proxy = TestProxy::with_servers(default_settings(), list.clone());
     let zone_of = |s: ServerId| list.iter().find(|e| e.server == s).map(|e| e.zone);
     let mut lost = 0;
     for i in 0..300u64 {
-        p.now += 10 * MS;
-        let (id, actions) = p.ask(i * 7919);
-        let Some(server) = sent(&actions) else { continue };
+        proxy.now += 10 * MS;
+        let (id, actions) = proxy.request(i * 7919);
+        let Some(server) = sent_server(&actions) else { continue };
         if zone_of(server) == Some(1) {
             lost += 1;
-            p.end_after(id, 0, server, Status::Timeout, None, 400 * MS);
-            p.event(Event::Expired(id));
+            proxy.finish_attempt_after(id, 0, server, Status::Timeout, None, 400 * MS);
+            proxy.handle(Event::Expired(id));
         } else {
-            p.end(id, 0, server, Status::Ok, Some(true));
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         }
     }
-    assert!((1..20).contains(&lost), "{lost} of 300 requests lost in 3 s to a zone of 30 servers");
+    assert!(
+        (1..20).contains(&lost),
+        "{lost} of 300 requests lost in 3 s to a zone of 30 servers, expected 1 to 19"
+    );
 }
 
 #[test]
-fn while_shedding_buckets_that_hit_go_on_first() {
-    // Danger: where misses have jammed the origin, refusing hits gives up what can be served and frees nothing.
-    let mut p = Proxy::with(settings(), entries(0..10));
+fn requests_of_hitting_buckets_are_admitted_first_while_an_overload_is_shed() {
+    // When misses overload the origin, refusing hits loses requests that can be served and relieves nothing.
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
     for _ in 0..10 {
         for key in 0..20u64 {
-            p.now += 5 * MS;
-            p.served(key * 7919, true);
+            proxy.now += 5 * MS;
+            proxy.serve(key * 7919, true);
         }
     }
-    let (mut known, mut unknown, mut waiting) = (0, 0, VecDeque::new());
+    let (mut admitted_hits, mut admitted_others, mut waiting) = (0, 0, VecDeque::new());
     for i in 0..400u64 {
-        p.now += 10 * MS;
+        proxy.now += 10 * MS;
         let hit = i % 2 == 0;
         let key = if hit { i % 20 * 7919 } else { 0x1000_0000 + i * 7919 };
-        let (id, actions) = p.ask(key);
-        let Some(server) = sent(&actions) else { continue };
+        let (id, actions) = proxy.request(key);
+        let Some(server) = sent_server(&actions) else { continue };
         if hit {
-            known += 1;
-            p.end(id, 0, server, Status::Ok, Some(true));
+            admitted_hits += 1;
+            proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         } else {
-            unknown += 1;
-            waiting.push_back((p.now, id, server));
+            admitted_others += 1;
+            waiting.push_back((proxy.now, id, server));
         }
-        let until = p.now - 320 * MS;
-        while let Some((_, id, server)) = waiting.pop_front_if(|(at, ..)| *at <= until) {
-            p.event(Event::Expired(id));
-            p.end(id, 0, server, Status::Timeout, None);
+        let latest_arrival = proxy.now - 320 * MS;
+        while let Some((_, id, server)) = waiting.pop_front_if(|(arrived, ..)| *arrived <= latest_arrival) {
+            proxy.handle(Event::Expired(id));
+            proxy.finish_attempt(id, 0, server, Status::Timeout, None);
         }
     }
-    assert!(known > unknown + 30, "{known} requests of hitting buckets taken, {unknown} of others");
+    assert!(
+        admitted_hits > admitted_others + 30,
+        "admitted {admitted_hits} requests of hitting buckets and {admitted_others} of others, expected over 30 more"
+    );
 }
 
 #[test]
-fn fetches_that_fail_are_not_asked_again_elsewhere_while_the_origin_fails() {
-    // Danger: one failed fetch asked again at other servers is one fetch more for each at a failing origin.
-    let mut p = Proxy::with(settings(), entries(0..10));
-    p.crowd(0..200);
-    let (id, actions) = p.ask(0x7000_0001);
-    let lone = p.end(id, 0, sent(&actions).expect("sent"), Status::Error, None);
-    assert!(sent(&lone).is_some(), "a lone error is tried elsewhere");
-    let mut again = 0;
+fn errors_are_not_retried_on_other_servers_while_the_origin_fails() {
+    // Each retry of a failed fetch at another server is one more fetch at an origin that already fails.
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
+    proxy.serve_background_keys(0..200);
+    let (id, actions) = proxy.request(0x7000_0001);
+    let server = sent_server(&actions).expect("the request is sent");
+    let actions = proxy.finish_attempt(id, 0, server, Status::Error, None);
+    assert!(sent_server(&actions).is_some(), "a single error is not retried");
+    let mut retried = 0;
     for i in 0..60u64 {
-        p.crowd(i * 10..i * 10 + 4);
-        let (id, actions) = p.ask(0x7000_1000 + i * 7919);
-        let Some(server) = sent(&actions) else { continue };
-        let after = p.end(id, 0, server, Status::Error, None);
-        again += usize::from(i >= 20 && sent(&after).is_some());
+        proxy.serve_background_keys(i * 10..i * 10 + 4);
+        let (id, actions) = proxy.request(0x7000_1000 + i * 7919);
+        let Some(server) = sent_server(&actions) else { continue };
+        let actions = proxy.finish_attempt(id, 0, server, Status::Error, None);
+        retried += usize::from(i >= 20 && sent_server(&actions).is_some());
     }
-    assert_eq!(again, 0, "errors tried again while a fifth of the outcomes are errors");
+    assert_eq!(retried, 0, "errors retried while a fifth of the outcomes are errors");
 }
 
 #[test]
-fn refused_connections_are_tried_elsewhere_far_beyond_the_budget() {
-    // Danger: with servers gone and the list late, a spent budget refuses what the next server could serve.
-    let mut p = Proxy::with(settings(), entries(0..60));
-    p.crowd(0..20);
-    let mut tried = 0;
+fn refused_connections_are_retried_on_other_servers_far_beyond_the_retry_budget() {
+    // After servers are removed and before the list says so, an exhausted retry budget would refuse requests that the
+    // next server could serve.
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..60));
+    proxy.serve_background_keys(0..20);
+    let mut retried = 0;
     for i in 0..20u64 {
-        p.now += 50 * MS;
-        let (id, actions) = p.ask(0x5000_0000 + i * 7919);
-        let first = sent(&actions).expect("sent");
-        let second = sent(&p.end(id, 0, first, Status::ConnectFailed, None));
-        tried += usize::from(second.is_some());
-        second.map(|s| p.end(id, 1, s, Status::Ok, Some(true)));
+        proxy.now += 50 * MS;
+        let (id, actions) = proxy.request(0x5000_0000 + i * 7919);
+        let first = sent_server(&actions).expect("the request is sent");
+        let second = sent_server(&proxy.finish_attempt(id, 0, first, Status::ConnectFailed, None));
+        retried += usize::from(second.is_some());
+        second.map(|server| proxy.finish_attempt(id, 1, server, Status::Ok, Some(true)));
     }
-    assert!(tried >= 18, "{tried} of 20 tried again");
+    assert!(retried >= 18, "{retried} of 20 requests retried, expected at least 18");
 }
 
-fn aside() -> (Settings, Vec<Entry>, ServerId) {
+/// Settings, servers and origin of a fleet whose proxies fetch misses from the origin themselves.
+fn cache_aside_fleet() -> (Settings, Vec<Entry>, ServerId) {
     let mut list = entries(0..12);
     list.push(Entry { kind: 1, ..entry(99) });
-    (Settings { aside: true, origin_kind: Some(1), ..settings() }, list, server_id("server-99"))
+    (Settings { aside: true, origin_kind: Some(1), ..default_settings() }, list, server_id("server-99"))
 }
 
-/// Asks for fresh keys, lets each miss and ends the fetch at the origin with `status`; returns how many fetches
-/// there were.
-fn misses(p: &mut Proxy, origin: ServerId, keys: std::ops::Range<u64>, status: Status) -> usize {
+/// Requests keys that miss, ends each fetch at the origin with `status` and returns the number of fetches.
+fn fetch_misses(
+    proxy: &mut TestProxy,
+    origin: ServerId,
+    key_numbers: std::ops::Range<u64>,
+    status: Status,
+) -> usize {
     let mut fetches = 0;
-    for k in keys {
-        p.now += 50 * MS;
-        let (id, actions) = p.ask(0x5000_0000 + k * 7919);
-        let Some(cache) = sent(&actions) else { continue };
+    for number in key_numbers {
+        proxy.now += 50 * MS;
+        let (id, actions) = proxy.request(0x5000_0000 + number * 7919);
+        let Some(cache) = sent_server(&actions) else { continue };
         assert_ne!(cache, origin);
-        let actions = p.end(id, 0, cache, Status::Miss, Some(false));
-        if sent(&actions) == Some(origin) {
+        let actions = proxy.finish_attempt(id, 0, cache, Status::Miss, Some(false));
+        if sent_server(&actions) == Some(origin) {
             fetches += 1;
-            p.now += 50 * MS;
-            let actions = p.end_after(id, 1, origin, status, None, 400 * MS);
-            assert_eq!(sent(&actions), None, "a failed fetch is not asked again at once");
+            proxy.now += 50 * MS;
+            let actions = proxy.finish_attempt_after(id, 1, origin, status, None, 400 * MS);
+            assert_eq!(sent_server(&actions), None, "a finished fetch was followed by another attempt");
         }
     }
     fetches
 }
 
 #[test]
-fn a_jammed_origin_gets_fewer_fetches_and_hits_go_on() {
-    let (settings, list, origin) = aside();
-    let mut p = Proxy::with(settings, list);
-    misses(&mut p, origin, 0..100, Status::Timeout);
-    assert!(misses(&mut p, origin, 100..200, Status::Timeout) < 50, "the origin is spared");
-    for k in 0..50 {
-        p.now += 20 * MS;
-        p.served(0x7000_0000 + k * 7919, true);
+fn an_overloaded_origin_gets_fewer_fetches_while_hits_are_still_served() {
+    let (settings, list, origin) = cache_aside_fleet();
+    let mut proxy = TestProxy::with_servers(settings, list);
+    fetch_misses(&mut proxy, origin, 0..100, Status::Timeout);
+    let fetches = fetch_misses(&mut proxy, origin, 100..200, Status::Timeout);
+    assert!(fetches < 50, "{fetches} of 100 misses went to the overloaded origin, expected under 50");
+    for i in 0..50 {
+        proxy.now += 20 * MS;
+        proxy.serve(0x7000_0000 + i * 7919, true);
     }
-    misses(&mut p, origin, 200..500, Status::Ok);
-    assert!(misses(&mut p, origin, 500..600, Status::Ok) > 80, "and used again once it keeps up");
+    fetch_misses(&mut proxy, origin, 200..500, Status::Ok);
+    let fetches = fetch_misses(&mut proxy, origin, 500..600, Status::Ok);
+    assert!(fetches > 80, "{fetches} of 100 misses went to the recovered origin, expected over 80");
 }
 
 #[test]
-fn the_origins_times_do_not_make_caches_look_slow_or_silent() {
-    let (settings, list, origin) = aside();
-    let mut p = Proxy::with(settings, list);
-    p.crowd(0..200);
-    let (id, actions) = p.ask(KEY);
-    let cache = sent(&actions).expect("sent");
-    let actions = p.end(id, 0, cache, Status::Miss, Some(false));
-    assert_eq!(sent(&actions), Some(origin));
-    assert!(!actions.iter().any(|a| matches!(a, Action::Timer { .. })), "no second copy of a fetch");
+fn a_slow_fetch_is_not_hedged_as_if_its_cache_were_silent() {
+    let (settings, list, origin) = cache_aside_fleet();
+    let mut proxy = TestProxy::with_servers(settings, list);
+    proxy.serve_background_keys(0..200);
+    let (id, actions) = proxy.request(KEY);
+    let cache = sent_server(&actions).expect("the request is sent");
+    let actions = proxy.finish_attempt(id, 0, cache, Status::Miss, Some(false));
+    assert_eq!(sent_server(&actions), Some(origin));
+    assert!(!actions.iter().any(|a| matches!(a, Action::Timer { .. })), "a fetch is hedged");
 }
 
 #[test]
-fn a_bucket_seen_once_or_twice_by_a_thin_proxy_is_not_spread() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    let firsts: Vec<ServerId> = (0..20)
-        .map(|k| {
-            p.now += SECOND;
-            p.served(k, true)
+fn a_proxy_with_little_traffic_does_not_spread_a_bucket_after_one_or_two_requests() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    let first_servers: Vec<ServerId> = (0..20)
+        .map(|key| {
+            proxy.now += SECOND;
+            proxy.serve(key, true)
         })
         .collect();
-    for (k, first) in firsts.iter().enumerate() {
-        p.now += SECOND;
-        assert_eq!(p.served(k as u64, true), *first);
+    for (key, first) in first_servers.iter().enumerate() {
+        proxy.now += SECOND;
+        assert_eq!(proxy.serve(key as u64, true), *first);
     }
 }
 
 #[test]
-fn a_heavy_request_that_takes_its_time_is_no_silent_server() {
-    let mut p = Proxy::with(settings(), entries(0..10));
-    let hinted =
+fn the_hedge_delay_grows_with_expected_work_so_that_heavy_requests_do_not_look_silent() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
+    let with_hint =
         |hint| Request { key: Some(KEY), hint: Some(hint), remaining: 800 * MS, ..Request::default() };
     for _ in 0..40 {
-        p.now += 100 * MS;
-        let (id, actions) = p.ask_as(hinted(MS));
-        p.end(id, 0, sent(&actions).expect("sent"), Status::Ok, Some(true));
+        proxy.now += 100 * MS;
+        let (id, actions) = proxy.submit(with_hint(MS));
+        let server = sent_server(&actions).expect("the request is sent");
+        proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
     }
-    let wait = |actions: &[Action]| {
+    let hedge_delay = |actions: &[Action]| {
         let delays = actions.iter().filter_map(|a| match a {
             Action::Timer { delay, .. } => Some(*delay),
             _ => None,
         });
         delays.min()
     };
-    let usual = wait(&p.ask_as(hinted(MS)).1).expect("a timer");
-    let heavy = wait(&p.ask_as(hinted(10 * MS)).1).unwrap_or(Nanos::MAX);
-    assert!(heavy > usual * 2, "{heavy} against {usual}");
+    let usual = hedge_delay(&proxy.submit(with_hint(MS)).1).expect("a hedge timer");
+    let heavy = hedge_delay(&proxy.submit(with_hint(10 * MS)).1).unwrap_or(Nanos::MAX);
+    assert!(
+        heavy > usual * 2,
+        "hedge delay for ten times the usual work: {heavy} ns, expected over twice the usual {usual} ns"
+    );
 }
 
-/// Connections closed while a proxy asks for 200 keys, `gap` apart.
-fn closed(settings: Settings, gap: Nanos, refused: bool) -> usize {
-    let mut p = Proxy::with(settings, entries(0..50));
+/// Counts the connections closed while a proxy requests 200 keys, `interval` apart. With `refusing`, every fifth
+/// attempt finds its connection refused.
+fn closed_connections(settings: Settings, interval: Nanos, refusing: bool) -> usize {
+    let mut proxy = TestProxy::with_servers(settings, entries(0..50));
     let mut closed = 0;
-    for k in 0..200 {
-        p.now += gap;
-        let (id, actions) = p.ask(k * 7919);
-        let server = sent(&actions).expect("sent");
+    for i in 0..200 {
+        proxy.now += interval;
+        let (id, actions) = proxy.request(i * 7919);
+        let server = sent_server(&actions).expect("the request is sent");
         let mut actions = Vec::new();
-        if refused && k % 5 == 0 {
-            actions = p.end(id, 0, server, Status::ConnectFailed, None);
+        if refusing && i % 5 == 0 {
+            actions = proxy.finish_attempt(id, 0, server, Status::ConnectFailed, None);
         }
-        let n = u32::from(!actions.is_empty());
-        let server = sent(&actions).unwrap_or(server);
-        let actions = p.end(id, n, server, Status::Ok, Some(true));
+        let attempt = u32::from(!actions.is_empty());
+        let server = sent_server(&actions).unwrap_or(server);
+        let actions = proxy.finish_attempt(id, attempt, server, Status::Ok, Some(true));
         closed += actions.iter().filter(|a| matches!(a, Action::Close(_))).count();
     }
     closed
 }
 
 #[test]
-fn connections_needed_again_too_late_are_closed() {
-    let priced = Settings { connection_price: 0.2, handshake_price: 0.1, proxies: 1000, ..settings() };
-    assert!(closed(priced.clone(), 200 * MS, false) > 150, "many thin proxies close");
-    assert_eq!(closed(Settings { proxies: 4, ..priced }, 5 * MS, false), 0, "few busy ones keep");
-    assert_eq!(closed(settings(), 200 * MS, false), 0, "without a price nothing is closed");
-    assert!(closed(settings(), 200 * MS, true) > 100, "unless servers refuse connections");
-    let many = Settings { proxies: 100, ..settings() };
-    assert_eq!(closed(many, 200 * MS, true), 0, "a subset's connections are kept");
+fn idle_connections_are_closed_when_too_costly_to_keep_or_when_servers_refuse_new_ones() {
+    let with_prices =
+        Settings { connection_price: 0.2, handshake_price: 0.1, proxies: 1000, ..default_settings() };
+    let closed = closed_connections(with_prices.clone(), 200 * MS, false);
+    assert!(closed > 150, "many proxies with little traffic closed {closed} connections, expected over 150");
+    let few_busy_proxies = Settings { proxies: 4, ..with_prices };
+    assert_eq!(closed_connections(few_busy_proxies, 5 * MS, false), 0, "few busy proxies closed connections");
+    let closed = closed_connections(default_settings(), 200 * MS, false);
+    assert_eq!(closed, 0, "closed connections although they have no price");
+    let closed = closed_connections(default_settings(), 200 * MS, true);
+    assert!(closed > 100, "closed {closed} connections while servers refuse new ones, expected over 100");
+    let many_proxies = Settings { proxies: 100, ..default_settings() };
+    assert_eq!(closed_connections(many_proxies, 200 * MS, true), 0, "closed connections of a subset");
 }
 
-/// How many of so many proxies send to each of 60 servers, and the part of their requests that leave their zone.
-fn connected(proxies: u32) -> (BTreeMap<ServerId, u32>, f64) {
-    let (mut at, mut far) = (BTreeMap::new(), 0.0);
+/// Returns how many of `proxies` proxies send to each of 60 servers, and the fraction of requests that leave the
+/// proxy's zone.
+fn connections_per_server(proxies: u32) -> (BTreeMap<ServerId, u32>, f64) {
+    let (mut connections, mut cross_zone_fraction) = (BTreeMap::new(), 0.0);
     for me in 0..proxies {
         let zone = me % 3;
-        let mut p = Proxy::with(Settings { proxies, me, zone, ..settings() }, entries(0..60));
-        let asked: Vec<ServerId> = (0..400u64).map(|k| p.served(k * 7919, true)).collect();
-        let abroad = entries(0..60).into_iter().filter(|e| e.zone != zone);
-        let abroad: Vec<ServerId> = abroad.map(|e| e.server).collect();
-        far += asked.iter().filter(|s| abroad.contains(s)).count() as f64 / 400.0 / f64::from(proxies);
-        let mut servers = asked;
+        let mut proxy =
+            TestProxy::with_servers(Settings { proxies, me, zone, ..default_settings() }, entries(0..60));
+        let mut servers: Vec<ServerId> = (0..400u64).map(|i| proxy.serve(i * 7919, true)).collect();
+        let other_zones = entries(0..60).into_iter().filter(|e| e.zone != zone);
+        let other_zones: Vec<ServerId> = other_zones.map(|e| e.server).collect();
+        let cross_zone = servers.iter().filter(|server| other_zones.contains(server)).count();
+        cross_zone_fraction += cross_zone as f64 / 400.0 / f64::from(proxies);
         servers.sort_unstable();
         servers.dedup();
-        servers.into_iter().for_each(|s| *at.entry(s).or_insert(0) += 1);
+        servers.into_iter().for_each(|server| *connections.entry(server).or_insert(0) += 1);
     }
-    (at, far)
+    (connections, cross_zone_fraction)
 }
 
 #[test]
-fn many_proxies_share_out_the_connections_that_servers_have() {
-    // Some thirty are accepted. A subset has four servers at the least: 300 proxies come to twenty a server.
+fn many_proxies_together_stay_below_the_connection_limits_of_the_servers() {
+    // A server accepts about thirty connections. A subset has at least four servers, so 300 proxies come to a mean of
+    // twenty per server.
     for (proxies, bound) in [(100, 24), (300, 36)] {
-        let (at, far) = connected(proxies);
-        let most = at.values().max().copied().unwrap_or(0);
-        assert_eq!(at.len(), 60, "each server serves somebody");
-        assert!(most <= bound, "{proxies} proxies: {most} at one server");
-        assert!(far < 0.5, "{proxies} proxies: {far:.2} of the requests leave their zone, 0.67 by chance");
+        let (connections, cross_zone) = connections_per_server(proxies);
+        let most = connections.values().max().copied().unwrap_or(0);
+        assert_eq!(connections.len(), 60, "each server is in the subset of some proxy");
+        assert!(most <= bound, "{proxies} proxies: {most} at one server, expected at most {bound}");
+        assert!(
+            cross_zone < 0.5,
+            "{proxies} proxies: {cross_zone:.2} of the requests leave their zone; an even distribution gives 0.67"
+        );
     }
-    let (at, far) = connected(4);
-    assert!(at.values().all(|n| *n == 4) && far > 0.6, "few proxies come to all servers, as before");
+    let (connections, cross_zone) = connections_per_server(4);
+    assert!(
+        connections.values().all(|n| *n == 4) && cross_zone > 0.6,
+        "each of four proxies sends to all servers, whatever their zone"
+    );
 }
 
 #[test]
-fn a_hundred_proxies_together_neither_push_over_a_cold_server_nor_starve_it() {
+fn a_hundred_proxies_together_neither_overload_nor_starve_a_server_in_slow_start() {
     let servers = 60;
     let load = 0.55;
-    let cold = server_id("server-7");
-    let born = 1000 * SECOND;
+    let recovering = server_id("server-7");
+    let started = 1000 * SECOND;
     let proxies = (0..100).map(|me| {
-        let mut p = Proxy::new(thin(me), 1 + u64::from(me));
-        p.list(ListKind::Cached, entries(0..servers));
-        // They have served before it starts.
-        p.now = born - 10 * SECOND;
-        p
+        let mut proxy = TestProxy::new(settings_of_hundred(me), 1 + u64::from(me));
+        proxy.update_list(ListKind::Cached, entries(0..servers));
+        // The proxies have traffic counts when the server starts.
+        proxy.now = started - 10 * SECOND;
+        proxy
     });
-    let mut proxies: Vec<Proxy> = proxies.collect();
-    // 16 requests a second at each; work that a server can do in a second is its even part over the load.
+    let mut proxies: Vec<TestProxy> = proxies.collect();
+    // 16 requests per second at each proxy; a warm server's capacity per second is its even share over the load.
     let capacity = 1600.0 / servers as f64 / load;
     let (mut sends, mut key) = (BTreeMap::new(), 1u64);
     for tick in 0..(34 * 16) {
-        for p in &mut proxies {
-            let now = born - 10 * SECOND + tick * SECOND / 16;
-            p.now = now;
-            if now == born {
-                p.list(ListKind::Delta, vec![Entry { started: born, ..entry(7) }]);
+        for proxy in &mut proxies {
+            let now = started - 10 * SECOND + tick * SECOND / 16;
+            proxy.now = now;
+            if now == started {
+                proxy.update_list(ListKind::Delta, vec![Entry { started, ..entry(7) }]);
             }
-            if p.served(next_key(&mut key), false) == cold && now >= born {
-                *sends.entry((now - born) / SECOND).or_insert(0.0) += 1.0;
+            if proxy.serve(next_key(&mut key), false) == recovering && now >= started {
+                *sends.entry((now - started) / SECOND).or_insert(0.0) += 1.0;
             }
         }
     }
-    let mut all = 0.0;
+    let mut mean_fraction = 0.0;
     for second in 0..24u64 {
         let sent = sends.get(&second).copied().unwrap_or(0.0);
-        let warmth = (0.2 + 0.8 * second as f64 / 20.0).min(1.0);
+        let warm_up_fraction = (0.2 + 0.8 * second as f64 / 20.0).min(1.0);
         assert!(
-            sent < 3.0 * warmth * capacity,
-            "second {second}: {sent}, it can do {:.0}",
-            warmth * capacity
+            sent < 3.0 * warm_up_fraction * capacity,
+            "second {second}: {sent} requests at a capacity of {:.0}, overloaded at three times that",
+            warm_up_fraction * capacity
         );
-        all += sent / (warmth * capacity * load) / 24.0;
+        mean_fraction += sent / (warm_up_fraction * capacity * load) / 24.0;
     }
-    assert!(all > 0.5, "{all:.2} of what is due to it as it warms");
+    assert!(
+        mean_fraction > 0.5,
+        "the server got {mean_fraction:.2} of its share of requests during slow start, expected over 0.5"
+    );
 }
 
-/// Sixteen requests a second for so long at each of a hundred proxies; where `takes` says no, the connection is refused.
-/// Tells the refused connections in each second, and which proxies were served by each box in the last one.
-fn crowded(
+/// Submits 16 requests per second at each of a hundred proxies. A connection that `accepts` denies is refused; its
+/// arguments are the elapsed time, the proxy, the server, and the proxies that each server has served so far.
+/// Returns the refused connections of each second, and the proxies that each server served in the last second.
+fn serve_with_refused_connections(
     seconds: u64,
-    takes: impl Fn(Nanos, u32, ServerId, &BTreeMap<ServerId, BTreeSet<u32>>) -> bool,
+    accepts: impl Fn(Nanos, u32, ServerId, &BTreeMap<ServerId, BTreeSet<u32>>) -> bool,
 ) -> (Vec<u32>, BTreeMap<ServerId, BTreeSet<u32>>) {
-    let mut proxies: Vec<Proxy> = (0..100).map(|me| Proxy::with(thin(me), entries(0..60))).collect();
+    let mut proxies: Vec<TestProxy> =
+        (0..100).map(|me| TestProxy::with_servers(settings_of_hundred(me), entries(0..60))).collect();
     let start = proxies[0].now;
-    let (mut refused, mut held, mut key) = (vec![0; seconds as usize], BTreeMap::new(), 1u64);
-    let mut last: BTreeMap<ServerId, BTreeSet<u32>> = BTreeMap::new();
+    let (mut refused, mut served, mut key) = (vec![0; seconds as usize], BTreeMap::new(), 1u64);
+    let mut served_last: BTreeMap<ServerId, BTreeSet<u32>> = BTreeMap::new();
     for tick in 0..seconds * 16 {
-        for (me, p) in (0u32..).zip(&mut proxies) {
-            p.now = start + tick * SECOND / 16;
-            let (id, mut actions) = p.ask(next_key(&mut key));
+        for (me, proxy) in (0u32..).zip(&mut proxies) {
+            proxy.now = start + tick * SECOND / 16;
+            let (id, mut actions) = proxy.request(next_key(&mut key));
             for attempt in 0.. {
-                let Some(server) = sent(&actions) else { break };
-                if takes(p.now - start, me, server, &held) {
-                    p.end(id, attempt, server, Status::Ok, Some(true));
-                    held.entry(server).or_default().insert(me);
+                let Some(server) = sent_server(&actions) else { break };
+                if accepts(proxy.now - start, me, server, &served) {
+                    proxy.finish_attempt(id, attempt, server, Status::Ok, Some(true));
+                    served.entry(server).or_default().insert(me);
                     if tick + 16 >= seconds * 16 {
-                        last.entry(server).or_default().insert(me);
+                        served_last.entry(server).or_default().insert(me);
                     }
                     break;
                 }
                 refused[(tick / 16) as usize] += 1;
-                actions = p.end(id, attempt, server, Status::ConnectFailed, None);
+                actions = proxy.finish_attempt(id, attempt, server, Status::ConnectFailed, None);
             }
         }
     }
-    (refused, last)
+    (refused, served_last)
 }
 
 #[test]
-fn a_lost_zone_starts_no_storm_of_connections() {
+fn a_lost_zone_does_not_cause_a_connection_storm() {
     let lost: Vec<ServerId> = entries(0..60).into_iter().filter(|e| e.zone == 0).map(|e| e.server).collect();
-    let (refused, last) = crowded(20, |now, _, server, _| now < 5 * SECOND || !lost.contains(&server));
-    // 100 proxies have some 700 pairs with boxes, a third of them lost: each is tried once, then ever more rarely.
-    assert!(refused[5] <= 400, "{refused:?}");
-    assert!(refused[6..].iter().sum::<u32>() <= 600 && refused[6..].iter().all(|n| *n <= 180), "{refused:?}");
-    let most = last.values().map(BTreeSet::len).max().unwrap_or(0);
-    assert!(last.len() == 40 && most <= 36, "{most} proxies at one box");
+    let (refused, served_last) = serve_with_refused_connections(20, |elapsed, _, server, _| {
+        elapsed < 5 * SECOND || !lost.contains(&server)
+    });
+    // 100 proxies have about 700 pairs of proxy and server, a third of them lost. Each pair is tried once, then at
+    // growing intervals.
+    assert!(refused[5] <= 400, "refused connections by second: {refused:?}");
+    assert!(
+        refused[6..].iter().sum::<u32>() <= 600 && refused[6..].iter().all(|n| *n <= 180),
+        "refused connections by second: {refused:?}"
+    );
+    let most = served_last.values().map(BTreeSet::len).max().unwrap_or(0);
+    assert!(
+        served_last.len() == 40 && most <= 36,
+        "{} servers in use, expected 40; {most} proxies at one server, expected at most 36",
+        served_last.len()
+    );
 }
 
 #[test]
-fn a_box_short_of_connections_is_used_by_those_that_have_one() {
-    let short = server_id("server-7");
-    let (refused, last) = crowded(20, |_, me, server, held| {
-        server != short || held.get(&server).is_none_or(|at| at.contains(&me) || at.len() < 4)
+fn a_server_at_its_connection_limit_keeps_serving_the_proxies_connected_to_it() {
+    let limited = server_id("server-7");
+    let (refused, served_last) = serve_with_refused_connections(20, |_, me, server, served| {
+        server != limited
+            || served.get(&server).is_none_or(|proxies| proxies.contains(&me) || proxies.len() < 4)
     });
-    assert_eq!(last.get(&short).map(BTreeSet::len), Some(4), "the four that came first have it still");
-    assert!(refused[10..].iter().sum::<u32>() <= 60, "{refused:?}");
-}
-
-#[test]
-fn a_hot_key_is_answered_where_all_that_is_ranked_is_cold() {
-    for (proxies, first) in [(4, 0), (4, 50), (4, 100), (100, 0), (100, 50), (100, 100)] {
-        let mut p = Proxy::with(Settings { proxies, ..settings() }, entries(0..60));
-        p.crowd(0..20);
-        let started = p.now;
-        p.list(ListKind::Full, entries(100..104).into_iter().map(|e| Entry { started, ..e }).collect());
-        for k in 0..400u64 {
-            p.now += MS;
-            let (id, actions) = p.ask((first + k % 4) * 7919);
-            match sent(&actions) {
-                Some(server) => drop(p.end(id, 0, server, Status::Ok, Some(true))),
-                None => assert_eq!(finals(&actions), 1),
+    let still_served = served_last.get(&limited).map(BTreeSet::len);
+    assert_eq!(still_served, Some(4), "the first four proxies do not all use their connection");
+    assert!(refused[10..].iter().sum::<u32>() <= 60, "refused connections by second: {refused:?}");
+}
+
+#[test]
+fn a_hot_key_is_answered_when_all_ranked_servers_are_in_slow_start() {
+    for (proxies, first_key) in [(4, 0), (4, 50), (4, 100), (100, 0), (100, 50), (100, 100)] {
+        let mut proxy = TestProxy::with_servers(Settings { proxies, ..default_settings() }, entries(0..60));
+        proxy.serve_background_keys(0..20);
+        let started = proxy.now;
+        proxy.update_list(
+            ListKind::Full,
+            entries(100..104).into_iter().map(|e| Entry { started, ..e }).collect(),
+        );
+        for i in 0..400u64 {
+            proxy.now += MS;
+            let (id, actions) = proxy.request((first_key + i % 4) * 7919);
+            match sent_server(&actions) {
+                Some(server) => drop(proxy.finish_attempt(id, 0, server, Status::Ok, Some(true))),
+                None => assert_eq!(final_answers(&actions), 1),
             }
         }
     }
 }
 
 #[test]
-fn a_subset_hardly_changes_with_the_list_and_not_with_a_restart() {
-    let (mut changed, mut all) = (0, 0);
+fn a_subset_is_the_same_after_a_restart_and_hardly_changes_with_the_list() {
+    let (mut moved, mut total) = (0, 0);
     for me in 0..30 {
-        let mut p = Proxy::with(thin(me), entries(0..60));
-        let mut again = Proxy::new(thin(me), 99);
-        again.list(ListKind::Cached, entries(0..60));
-        let before: Vec<ServerId> = (0..200u64).map(|k| p.served(k * 7919, true)).collect();
-        let same: Vec<ServerId> = (0..200u64).map(|k| again.served(k * 7919, true)).collect();
-        assert_eq!(before, same);
-        let mut later = Proxy::with(thin(me), entries(0..59));
-        let after: Vec<ServerId> = (0..200u64).map(|k| later.served(k * 7919, true)).collect();
-        let gone = entry(59).server;
-        let kept = before.iter().zip(&after).filter(|(b, _)| **b != gone);
-        changed += kept.clone().filter(|(b, a)| b != a).count();
-        all += kept.count();
-    }
-    assert!(changed * 20 < all, "{changed} of {all} keys moved though their server stayed");
-}
-
-#[test]
-fn a_silent_origin_does_not_cut_off_the_caches_of_its_zone() {
-    let (settings, list, origin) = aside();
-    let mut p = Proxy::with(Settings { zone: 1, ..settings }, list.clone());
-    misses(&mut p, origin, 0..12, Status::Timeout);
+        let mut proxy = TestProxy::with_servers(settings_of_hundred(me), entries(0..60));
+        let mut restarted = TestProxy::new(settings_of_hundred(me), 99);
+        restarted.update_list(ListKind::Cached, entries(0..60));
+        let before: Vec<ServerId> = (0..200u64).map(|i| proxy.serve(i * 7919, true)).collect();
+        let after_restart: Vec<ServerId> = (0..200u64).map(|i| restarted.serve(i * 7919, true)).collect();
+        assert_eq!(before, after_restart);
+        let mut with_shorter_list = TestProxy::with_servers(settings_of_hundred(me), entries(0..59));
+        let after: Vec<ServerId> = (0..200u64).map(|i| with_shorter_list.serve(i * 7919, true)).collect();
+        let removed = entry(59).server;
+        let on_remaining = before.iter().zip(&after).filter(|(before, _)| **before != removed);
+        moved += on_remaining.clone().filter(|(before, after)| before != after).count();
+        total += on_remaining.count();
+    }
+    assert!(
+        moved * 20 < total,
+        "{moved} of {total} keys of remaining servers moved, expected under a twentieth"
+    );
+}
+
+#[test]
+fn a_silent_origin_does_not_eject_the_caches_of_its_zone() {
+    let (settings, list, origin) = cache_aside_fleet();
+    let mut proxy = TestProxy::with_servers(Settings { zone: 1, ..settings }, list.clone());
+    fetch_misses(&mut proxy, origin, 0..12, Status::Timeout);
     let zone_of = |s: ServerId| list.iter().find(|e| e.server == s).map(|e| e.zone);
-    let asked: Vec<_> = (0..200u64).filter_map(|k| sent(&p.ask(k * 104_729).1)).map(zone_of).collect();
-    assert!(asked.iter().filter(|z| **z == Some(0)).count() > 20);
+    let zones: Vec<_> =
+        (0..200u64).filter_map(|i| sent_server(&proxy.request(i * 104_729).1)).map(zone_of).collect();
+    assert!(zones.iter().filter(|zone| **zone == Some(0)).count() > 20);
 }
 
 #[test]
-fn what_is_turned_away_at_once_is_no_jam() {
-    let mut p = Proxy::with(settings(), entries(0..20));
-    p.crowd(0..50);
+fn immediate_rejections_do_not_cause_shedding() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
+    proxy.serve_background_keys(0..50);
     let mut refused = 0;
-    for k in 0..200u64 {
-        p.now += 20 * MS;
-        let (id, mut actions) = p.ask(0x6000_0000 + k * 7919);
-        refused += u32::from(sent(&actions).is_none());
-        let mut n = 0;
-        while let Some(server) = sent(&actions) {
-            actions = p.end(id, n, server, Status::Full, None);
-            n += 1;
+    for i in 0..200u64 {
+        proxy.now += 20 * MS;
+        let (id, mut actions) = proxy.request(0x6000_0000 + i * 7919);
+        refused += u32::from(sent_server(&actions).is_none());
+        let mut attempt = 0;
+        while let Some(server) = sent_server(&actions) {
+            actions = proxy.finish_attempt(id, attempt, server, Status::Full, None);
+            attempt += 1;
         }
     }
-    assert_eq!(refused, 0, "a request is sent, though the last ones met full servers");
+    assert_eq!(refused, 0, "requests refused although servers only rejected the earlier ones");
 }
 
 #[test]
-fn where_proxies_fetch_full_servers_all_over_are_not_passed_on() {
-    let (settings, list, _) = aside();
-    let mut p = Proxy::with(settings, list);
-    p.crowd(0..100);
-    let mut passed = 0;
-    for k in 0..100u64 {
-        p.now += 20 * MS;
-        let (id, actions) = p.ask(0x8000_0000 + k * 7919);
-        let server = sent(&actions).expect("sent");
-        let actions = p.end(id, 0, server, Status::Full, None);
-        if let Some(next) = sent(&actions) {
-            passed += 1;
-            p.end(id, 1, next, Status::Ok, Some(true));
+fn a_cache_aside_fleet_stops_retrying_rejected_requests_when_rejections_are_frequent() {
+    let (settings, list, _) = cache_aside_fleet();
+    let mut proxy = TestProxy::with_servers(settings, list);
+    proxy.serve_background_keys(0..100);
+    let mut retried = 0;
+    for i in 0..100u64 {
+        proxy.now += 20 * MS;
+        let (id, actions) = proxy.request(0x8000_0000 + i * 7919);
+        let server = sent_server(&actions).expect("the request is sent");
+        let actions = proxy.finish_attempt(id, 0, server, Status::Full, None);
+        if let Some(next) = sent_server(&actions) {
+            retried += 1;
+            proxy.finish_attempt(id, 1, next, Status::Ok, Some(true));
         }
     }
-    assert!((1..10).contains(&passed), "one by one they are, all over they are not: {passed}");
+    assert!((1..10).contains(&retried), "{retried} of 100 rejected requests retried, expected 1 to 9");
 }
 
 #[test]
-fn a_withdrawn_server_gets_nothing_whatever_lists_say_until_it_is_given_back() {
-    // Keys that were not asked before: those that were stay where they went meanwhile.
+fn a_withdrawn_server_gets_no_new_requests_whatever_a_list_says_until_it_is_restored() {
+    // Each round requests new keys, since a key that was requested before may be pinned to another server.
     let mut keys = 0..;
-    let mut asked = |p: &mut Proxy| -> std::collections::HashSet<ServerId> {
-        keys.by_ref().take(200).map(|key| p.served(key * 7919, true)).collect()
+    let mut servers_of_new_keys = |proxy: &mut TestProxy| -> HashSet<ServerId> {
+        keys.by_ref().take(200).map(|key| proxy.serve(key * 7919, true)).collect()
     };
-    let mut p = Proxy::with(settings(), entries(0..6));
-    let (one, other) = (entry(2).server, entry(9).server);
-    assert!(asked(&mut p).contains(&one));
-    // The whole set each time, also one that no list has named yet.
-    p.event(Event::Withdrawn(vec![one, other]));
-    assert!(!asked(&mut p).contains(&one));
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..6));
+    let (listed, unlisted) = (entry(2).server, entry(9).server);
+    assert!(servers_of_new_keys(&mut proxy).contains(&listed));
+    // The event carries the whole set, which may name servers that no list has named yet.
+    proxy.handle(Event::Withdrawn(vec![listed, unlisted]));
+    assert!(!servers_of_new_keys(&mut proxy).contains(&listed));
     for kind in [ListKind::Full, ListKind::Delta, ListKind::Cached] {
-        p.list(kind, entries(0..10));
-        let at = asked(&mut p);
-        assert!(!at.contains(&one) && !at.contains(&other), "{kind:?}");
-    }
-    // Removed and listed anew, it is still withdrawn.
-    p.list(ListKind::Full, entries(3..6));
-    p.list(ListKind::Full, entries(0..10));
-    assert!(!asked(&mut p).contains(&one));
-    p.event(Event::Withdrawn(vec![other]));
-    let at = asked(&mut p);
-    assert!(at.contains(&one) && !at.contains(&other));
-    // What is out there when it is withdrawn ends as it would, and what follows goes elsewhere.
+        proxy.update_list(kind, entries(0..10));
+        let servers = servers_of_new_keys(&mut proxy);
+        assert!(!servers.contains(&listed) && !servers.contains(&unlisted), "{kind:?} list");
+    }
+    // A server that is removed and listed again is still withdrawn.
+    proxy.update_list(ListKind::Full, entries(3..6));
+    proxy.update_list(ListKind::Full, entries(0..10));
+    assert!(!servers_of_new_keys(&mut proxy).contains(&listed));
+    proxy.handle(Event::Withdrawn(vec![unlisted]));
+    let servers = servers_of_new_keys(&mut proxy);
+    assert!(servers.contains(&listed) && !servers.contains(&unlisted));
+    // An attempt pending at the time of the withdrawal ends as usual; its retry goes to another server.
     let (key, id, actions) = (0..)
-        .map(|key| (key, p.ask(key)))
-        .find_map(|(key, (id, actions))| (sent(&actions) == Some(one)).then_some((key, id, actions)))
-        .expect("a key of it");
-    assert_eq!(finals(&actions), 0);
-    p.event(Event::Withdrawn(vec![one]));
-    let again = p.end(id, 0, one, Status::Reset, None);
-    assert!(sent(&again).is_some_and(|s| s != one), "{key}: {again:?}");
-}
-
-#[test]
-fn other_settings_hold_from_the_next_request_on() {
-    let mut p = Proxy::with(settings(), entries(0..6));
-    let (id, actions) = p.ask(1);
-    assert!(sent(&p.end(id, 0, sent(&actions).expect("sent"), Status::Reset, None)).is_some());
-    p.event(Event::Settings(Box::new(Settings { max_attempts: 1, ..settings() })));
-    let (id, actions) = p.ask(2);
-    let ended = p.end(id, 0, sent(&actions).expect("sent"), Status::Reset, None);
-    assert_eq!((sent(&ended), finals(&ended)), (None, 1));
+        .map(|key| (key, proxy.request(key)))
+        .find_map(|(key, (id, actions))| {
+            (sent_server(&actions) == Some(listed)).then_some((key, id, actions))
+        })
+        .expect("a key of the listed server");
+    assert_eq!(final_answers(&actions), 0);
+    proxy.handle(Event::Withdrawn(vec![listed]));
+    let retry = proxy.finish_attempt(id, 0, listed, Status::Reset, None);
+    assert!(
+        sent_server(&retry).is_some_and(|server| server != listed),
+        "key {key}: expected a retry at another server, got {retry:?}"
+    );
+}
+
+#[test]
+fn new_settings_apply_from_the_next_request_on() {
+    let mut proxy = TestProxy::with_servers(default_settings(), entries(0..6));
+    let (id, actions) = proxy.request(1);
+    let server = sent_server(&actions).expect("the request is sent");
+    let actions = proxy.finish_attempt(id, 0, server, Status::Reset, None);
+    assert!(sent_server(&actions).is_some());
+    proxy.handle(Event::Settings(Box::new(Settings { max_attempts: 1, ..default_settings() })));
+    let (id, actions) = proxy.request(2);
+    let server = sent_server(&actions).expect("the request is sent");
+    let actions = proxy.finish_attempt(id, 0, server, Status::Reset, None);
+    assert_eq!((sent_server(&actions), final_answers(&actions)), (None, 1));
 }
--- a/crates/calicosaddle/tests/rules.rs
+++ b/crates/calicosaddle/tests/rules.rs
@@ -1,4 +1,9 @@
-//! The four rules as properties over generated event sequences, with a fixed seed.
+//! Property tests of the request rules, over event sequences generated from a fixed seed:
+//!
+//! - an attempt is sent only to a ready server, before the deadline and before the final answer;
+//! - a request has at most the configured number of attempts, and no two at once without hedging;
+//! - a request that may have run is repeated only as its class's effect, group and deduplication window allow;
+//! - every request gets exactly one final answer, and it is refused only where a repeat by the client is harmless.
 
 mod common;
 use calicosaddle::api::*;
@@ -7,27 +12,29 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
+/// A generated event. Indices are taken modulo the number of pending attempts or open requests.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: u32, key: u64, remaining: u64, write: bool },
-    End { which: usize, status: usize },
-    Pass { ms: u64 },
-    Change { server: u64, state: usize },
-    Leave { which: usize },
+    Submit { class: u32, key: u64, remaining_ms: u64, write: bool },
+    FinishAttempt { pending: usize, status: usize },
+    AdvanceClock { ms: u64 },
+    ChangeServer { server: u64, state: usize },
+    ClientLeaves { open: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0u32..4, 0u64..40, 0u64..900, any::<bool>())
-            .prop_map(|(class, key, remaining, write)| Step::Ask { class, key, remaining, write }),
-        5 => (0usize..64, 0..ENDS.len()).prop_map(|(which, status)| Step::End { which, status }),
-        3 => (0u64..300).prop_map(|ms| Step::Pass { ms }),
-        1 => (0u64..8, 0usize..3).prop_map(|(server, state)| Step::Change { server, state }),
-        1 => (0usize..64).prop_map(|which| Step::Leave { which }),
+            .prop_map(|(class, key, remaining_ms, write)| Step::Submit { class, key, remaining_ms, write }),
+        5 => (0usize..64, 0..ATTEMPT_STATUSES.len())
+            .prop_map(|(pending, status)| Step::FinishAttempt { pending, status }),
+        3 => (0u64..300).prop_map(|ms| Step::AdvanceClock { ms }),
+        1 => (0u64..8, 0usize..3).prop_map(|(server, state)| Step::ChangeServer { server, state }),
+        1 => (0usize..64).prop_map(|open| Step::ClientLeaves { open }),
     ]
 }
 
-const ENDS: [Status; 10] = [
+const ATTEMPT_STATUSES: [Status; 10] = [
     Status::Ok,
     Status::Error,
     Status::Full,
@@ -40,239 +47,271 @@
     Status::Miss,
 ];
 
-struct Try {
+struct TrackedAttempt {
     server: ServerId,
-    sent: Nanos,
-    due: Nanos,
+    sent_at: Nanos,
+    times_out_at: Nanos,
     pending: bool,
-    ran: bool,
+    may_have_run: bool,
 }
 
-struct Asked {
+struct TrackedRequest {
     class: usize,
     deadline: Nanos,
-    over: bool,
-    tries: Vec<Try>,
+    /// It has its final answer, or its client has left.
+    closed: bool,
+    attempts: Vec<TrackedAttempt>,
 }
 
-/// The world around one proxy, which checks each action as it is made.
-struct World {
-    proxy: Proxy,
+/// Clients, servers and timers around one proxy; checks each action against the rules.
+struct RuleChecker {
+    proxy: TestProxy,
     settings: Settings,
-    asked: BTreeMap<RequestId, Asked>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<(Nanos, u64)>,
-    list: BTreeMap<ServerId, Entry>,
+    servers: BTreeMap<ServerId, Entry>,
 }
 
-impl World {
+impl RuleChecker {
     fn new(settings: Settings) -> Self {
         let list = entries(0..8);
-        let proxy = Proxy::new(settings.clone(), 11);
-        let mut w = World {
+        let proxy = TestProxy::new(settings.clone(), 11);
+        let mut checker = RuleChecker {
             proxy,
             settings,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: Vec::new(),
-            list: list.iter().map(|e| (e.server, e.clone())).collect(),
+            servers: list.iter().map(|e| (e.server, e.clone())).collect(),
         };
-        let actions = w.proxy.list(ListKind::Cached, list);
-        w.check(actions);
-        w
+        let actions = checker.proxy.update_list(ListKind::Cached, list);
+        checker.check_actions(actions);
+        checker
     }
 
-    fn check(&mut self, actions: Vec<Action>) {
+    fn check_actions(&mut self, actions: Vec<Action>) {
         let now = self.proxy.now;
         for action in actions {
             match action {
-                Action::Send { id, server, timeout } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "sent after the final answer");
-                    assert!(now <= r.deadline, "sent after the deadline");
-                    assert_eq!(
-                        self.list[&server].state,
-                        State::Ready,
-                        "sent to a server that drains or is gone"
-                    );
-                    assert!(r.tries.len() < self.settings.max_attempts as usize, "too many attempts");
-                    assert!(self.settings.second_copies || r.tries.iter().all(|t| !t.pending), "two at once");
-                    let class = &self.settings.classes[r.class];
-                    for t in r.tries.iter().filter(|t| t.pending || t.ran) {
-                        let (old, new) = (&self.list[&t.server], &self.list[&server]);
-                        match class.effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent again"),
-                            Effect::Keyed => {
-                                assert!(now < t.sent + class.dedup_window, "sent outside the window");
-                                match class.group {
-                                    Group::All => {}
-                                    Group::Zone => assert_eq!(old.zone, new.zone),
-                                    Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
-                                }
-                            }
-                        }
-                    }
-                    let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
-                    r.tries.push(Try { server, sent: now, due, pending: true, ran: false });
-                }
+                Action::Send { id, server, timeout } => self.check_send(id, server, timeout),
                 Action::Refuse { id, .. } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "two final answers");
-                    let class = &self.settings.classes[r.class];
-                    let ran = r.tries.iter().any(|t| t.pending || t.ran);
+                    let request = self.requests.get_mut(&id).expect("a submitted request");
+                    assert!(!request.closed, "two final answers");
+                    let class = &self.settings.classes[request.class];
+                    let may_have_run = request.attempts.iter().any(|a| a.pending || a.may_have_run);
                     assert!(
-                        !ran || class.effect == Effect::Safe
+                        !may_have_run
+                            || class.effect == Effect::Safe
                             || (class.effect == Effect::Keyed && class.group == Group::All)
                     );
-                    r.over = true;
+                    request.closed = true;
                 }
                 Action::Fail { id } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "two final answers");
-                    r.over = true;
+                    let request = self.requests.get_mut(&id).expect("a submitted request");
+                    assert!(!request.closed, "two final answers");
+                    request.closed = true;
                 }
                 Action::Timer { token, delay } => self.timers.push((now + delay, token)),
                 Action::Cancel { id, attempt } => {
                     assert!(self.settings.cancel);
-                    assert!((attempt as usize) < self.asked[&id].tries.len());
+                    assert!((attempt as usize) < self.requests[&id].attempts.len());
                 }
                 Action::Close(_) => {}
                 Action::Probe(_) => assert!(self.settings.probe),
-                Action::Subscribe => panic!("the module does not follow lists"),
+                Action::Subscribe => panic!("the balancer subscribed to the server list"),
+            }
+        }
+    }
+
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
+        let now = self.proxy.now;
+        let request = self.requests.get_mut(&id).expect("a submitted request");
+        assert!(!request.closed, "sent after the final answer");
+        assert!(now <= request.deadline, "sent after the deadline");
+        assert_eq!(self.servers[&server].state, State::Ready, "sent to a draining or removed server");
+        assert!(request.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
+        assert!(
+            self.settings.second_copies || request.attempts.iter().all(|a| !a.pending),
+            "two attempts at once although hedging is off"
+        );
+        let class = &self.settings.classes[request.class];
+        for attempt in request.attempts.iter().filter(|a| a.pending || a.may_have_run) {
+            let (old, new) = (&self.servers[&attempt.server], &self.servers[&server]);
+            match class.effect {
+                Effect::Safe => {}
+                Effect::Unsafe => panic!("an unsafe request sent again after it may have run"),
+                Effect::Keyed => {
+                    assert!(
+                        now < attempt.sent_at + class.dedup_window,
+                        "sent again after the deduplication window"
+                    );
+                    match class.group {
+                        Group::All => {}
+                        Group::Zone => assert_eq!(old.zone, new.zone),
+                        Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
+                    }
+                }
             }
         }
+        let times_out_at = if timeout == 0 { request.deadline } else { request.deadline.min(now + timeout) };
+        request.attempts.push(TrackedAttempt {
+            server,
+            sent_at: now,
+            times_out_at,
+            pending: true,
+            may_have_run: false,
+        });
     }
 
-    fn finish(&mut self, id: RequestId, n: usize, status: Status) {
+    fn finish_attempt(&mut self, id: RequestId, number: usize, status: Status) {
         let now = self.proxy.now;
-        let r = self.asked.get_mut(&id).expect("asked");
-        let t = &mut r.tries[n];
-        (t.pending, t.ran) = (false, !status.never_ran());
-        let (server, sent) = (t.server, t.sent);
-        r.over |= status == Status::Ok;
-        let last = r.over;
+        let request = self.requests.get_mut(&id).expect("a submitted request");
+        let attempt = &mut request.attempts[number];
+        (attempt.pending, attempt.may_have_run) = (false, !status.never_ran());
+        let (server, sent_at) = (attempt.server, attempt.sent_at);
+        request.closed |= status == Status::Ok;
+        let last = request.closed;
         let event = Event::Outcome(Outcome {
             id,
-            attempt: n as u32,
+            attempt: number as u32,
             server,
             status,
-            elapsed: now - sent,
+            elapsed: now - sent_at,
             last,
             hit: None,
             load: vec![],
         });
-        let actions = self.proxy.event(event);
-        self.check(actions);
+        let actions = self.proxy.handle(event);
+        self.check_actions(actions);
     }
 
-    /// Lets time pass, with timers and time-outs in their order.
-    fn pass(&mut self, until: Nanos) {
+    /// Advances the clock to `until`; attempt time-outs and timers fire in order of time on the way.
+    fn advance_clock(&mut self, until: Nanos) {
         loop {
-            let due = self.asked.iter().flat_map(|(id, r)| {
-                r.tries.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, t)| (t.due, *id, n))
+            let timeouts = self.requests.iter().flat_map(|(id, request)| {
+                let pending = request.attempts.iter().enumerate().filter(|(_, a)| a.pending);
+                pending.map(move |(number, a)| (a.times_out_at, *id, number))
             });
-            let due = due.min();
-            let timer = self.timers.iter().copied().min();
-            match (due, timer) {
-                (Some((at, id, n)), t) if at <= until && t.is_none_or(|t| at <= t.0) => {
+            let next_timeout = timeouts.min();
+            let next_timer = self.timers.iter().copied().min();
+            match (next_timeout, next_timer) {
+                (Some((at, id, number)), timer) if at <= until && timer.is_none_or(|t| at <= t.0) => {
                     self.proxy.now = self.proxy.now.max(at);
-                    self.finish(id, n, Status::Timeout);
+                    self.finish_attempt(id, number, Status::Timeout);
                 }
                 (_, Some((at, token))) if at <= until => {
                     self.timers.retain(|t| *t != (at, token));
                     self.proxy.now = self.proxy.now.max(at);
-                    let actions = self.proxy.event(Event::Timer(token));
-                    self.check(actions);
+                    let actions = self.proxy.handle(Event::Timer(token));
+                    self.check_actions(actions);
                 }
                 _ => break,
             }
         }
         self.proxy.now = until;
-        for (id, r) in &self.asked {
-            assert!(r.over || r.deadline + 20 * MS >= until, "request {id} was never answered");
+        for (id, request) in &self.requests {
+            assert!(
+                request.closed || request.deadline + 20 * MS >= until,
+                "request {id} has no final answer 20 ms after its deadline"
+            );
         }
     }
 
-    fn step(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
-            Step::Ask { class, key, remaining, write } => {
+            Step::Submit { class, key, remaining_ms, write } => {
                 let class = class % self.settings.classes.len() as u32;
-                let id = self.asked.len() as u64 + 1;
-                let deadline = self.proxy.now + remaining * MS;
-                self.asked.insert(id, Asked { class: class as usize, deadline, over: false, tries: vec![] });
-                let request =
-                    Request { class, key: Some(key), remaining: remaining * MS, write, ..Request::default() };
-                let (got, actions) = self.proxy.ask_as(request);
-                assert_eq!(got, id);
-                self.check(actions);
+                let remaining = remaining_ms * MS;
+                let id = self.requests.len() as u64 + 1;
+                let deadline = self.proxy.now + remaining;
+                let tracked =
+                    TrackedRequest { class: class as usize, deadline, closed: false, attempts: vec![] };
+                self.requests.insert(id, tracked);
+                let request = Request { class, key: Some(key), remaining, write, ..Request::default() };
+                let (submitted, actions) = self.proxy.submit(request);
+                assert_eq!(submitted, id);
+                self.check_actions(actions);
             }
-            Step::End { which, status } => {
+            Step::FinishAttempt { pending: index, status } => {
                 let pending: Vec<(RequestId, usize)> = self
-                    .asked
+                    .requests
                     .iter()
-                    .flat_map(|(id, r)| {
-                        r.tries.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, _)| (*id, n))
+                    .flat_map(|(id, request)| {
+                        let pending = request.attempts.iter().enumerate().filter(|(_, a)| a.pending);
+                        pending.map(move |(number, _)| (*id, number))
                     })
                     .collect();
-                if let Some((id, n)) = pending.get(which % pending.len().max(1)) {
-                    self.finish(*id, *n, ENDS[status]);
+                if let Some((id, number)) = pending.get(index % pending.len().max(1)) {
+                    self.finish_attempt(*id, *number, ATTEMPT_STATUSES[status]);
                 }
             }
-            Step::Pass { ms } => self.pass(self.proxy.now + ms * MS),
-            Step::Change { server, state } => {
+            Step::AdvanceClock { ms } => self.advance_clock(self.proxy.now + ms * MS),
+            Step::ChangeServer { server, state } => {
                 let state = [State::Ready, State::Draining, State::Gone][state];
                 let changed = Entry { state, ..entry(server) };
-                self.list.insert(changed.server, changed.clone());
-                let actions = self.proxy.list(ListKind::Delta, vec![changed]);
-                self.check(actions);
+                self.servers.insert(changed.server, changed.clone());
+                let actions = self.proxy.update_list(ListKind::Delta, vec![changed]);
+                self.check_actions(actions);
             }
-            Step::Leave { which } => {
+            Step::ClientLeaves { open: index } => {
                 let open: Vec<RequestId> =
-                    self.asked.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
-                if let Some(id) = open.get(which % open.len().max(1)) {
-                    self.asked.get_mut(id).expect("asked").over = true;
-                    let actions = self.proxy.event(Event::Expired(*id));
-                    self.check(actions);
+                    self.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
+                if let Some(id) = open.get(index % open.len().max(1)) {
+                    self.requests.get_mut(id).expect("a submitted request").closed = true;
+                    let actions = self.proxy.handle(Event::Expired(*id));
+                    self.check_actions(actions);
                 }
             }
         }
     }
 }
 
-fn hold(settings: Settings) {
+/// Runs 200 generated event sequences and checks the rules after each event.
+fn assert_rules_hold(settings: Settings) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let run = runner.run(&proptest::collection::vec(step(), 1..120), |steps| {
-        let mut world = World::new(settings.clone());
-        steps.into_iter().for_each(|s| world.step(s));
-        world.pass(world.proxy.now + 5 * SECOND);
+    let result = runner.run(&proptest::collection::vec(step(), 1..120), |steps| {
+        let mut checker = RuleChecker::new(settings.clone());
+        steps.into_iter().for_each(|step| checker.run_step(step));
+        checker.advance_clock(checker.proxy.now + 5 * SECOND);
         Ok(())
     });
-    run.expect("the rules hold");
+    result.expect("the request rules hold");
 }
 
-fn classes() -> Settings {
-    let mut s = settings();
-    let base = s.classes[0].clone();
+/// Four classes: safe, keyed over all servers, keyed within a cell, and unsafe.
+fn settings_with_all_effects() -> Settings {
+    let mut settings = default_settings();
+    let base = settings.classes[0].clone();
     let keyed = |group| Class { effect: Effect::Keyed, group, ..base.clone() };
-    s.classes.push(keyed(Group::All));
-    s.classes.push(keyed(Group::Cell));
-    s.classes.push(Class { effect: Effect::Unsafe, ..base.clone() });
-    s
+    settings.classes.push(keyed(Group::All));
+    settings.classes.push(keyed(Group::Cell));
+    settings.classes.push(Class { effect: Effect::Unsafe, ..base.clone() });
+    settings
 }
 
 #[test]
-fn rules_hold_with_second_copies() {
-    hold(classes());
+fn request_rules_hold_with_hedging() {
+    assert_rules_hold(settings_with_all_effects());
 }
 
 #[test]
-fn rules_hold_with_one_attempt_at_a_time_and_an_asked_list() {
-    hold(Settings { second_copies: false, must_ask: true, cancel: false, ..classes() });
+fn request_rules_hold_without_hedging_or_cancellation_and_with_polled_lists() {
+    assert_rules_hold(Settings {
+        second_copies: false,
+        must_ask: true,
+        cancel: false,
+        ..settings_with_all_effects()
+    });
 }
 
 #[test]
-fn rules_hold_aside() {
-    hold(Settings { aside: true, origin_kind: Some(0), ..classes() });
-    hold(Settings { aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
+fn request_rules_hold_when_the_proxy_fetches_misses_from_the_origin() {
+    assert_rules_hold(Settings { aside: true, origin_kind: Some(0), ..settings_with_all_effects() });
+    assert_rules_hold(Settings {
+        aside: true,
+        origin_kind: Some(1),
+        max_attempts: 2,
+        ..settings_with_all_effects()
+    });
 }
