--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,78 +1,94 @@
-//! Text codec of the bench's wire: one line a message, parts separated by single spaces, `-` for absent.
+//! Text codec of the protocol between the simulator and the balancer.
+//!
+//! A message is one line of fields separated by single spaces; `-` stands for an absent value. Settings are
+//! `path=value` pairs.
 
 use calicosaddle::api::*;
 use std::fmt::Write as _;
+use std::str::FromStr;
+
+/// Maximum number of request classes, and of tenants, in the settings.
+const MAX_SETTINGS_ROWS: usize = 4096;
+/// Longest span taken from the wire, so that adding it to a time does not overflow.
+const MAX_SPAN_NS: Nanos = u64::MAX / 4;
+
+/// Bits of the `flags` field of a request.
+const FLAG_ESTIMATE_VALID: u64 = 1;
+const FLAG_REPEAT: u64 = 2;
+const FLAG_WRITE: u64 = 4;
 
 /// A parsed input line.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// A batch begins at this time.
+    /// A batch of events at this time begins.
     BatchStart(Nanos),
-    /// The batch is complete.
+    /// The batch is complete and its reply is due.
     BatchEnd,
-    /// A numbered list follows, of so many entries.
+    /// A server list follows, one [`Message::Entry`] per line; it replaces the content of a list buffer.
     ListBuffer {
-        /// List number, 0 to 15.
+        /// Buffer index, 0 to 15.
         index: usize,
-        /// Entries to come.
+        /// Number of entries that follow.
         entry_count: usize,
     },
-    /// One entry of the list, with the server's name.
+    /// One entry of the server list, with the server's name.
     Entry(String, Entry),
-    /// An instance starts.
+    /// A balancer instance starts.
     InstanceStart {
-        /// Instance.
+        /// Instance name.
         instance: String,
-        /// Its random seed.
+        /// Seed of its random source.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// An instance is told of servers; the entries stand in a page.
+    /// An instance receives a list update whose entries are in a list buffer.
     ListUpdate {
-        /// Instance.
+        /// Instance name.
         instance: String,
         /// What the entries are.
         kind: ListKind,
-        /// The page.
+        /// Buffer index.
         buffer: usize,
     },
-    /// An instance is gone.
+    /// The instance of this name stops.
     InstanceStop(String),
-    /// Any other event of an instance.
+    /// Any other event, for the instance of this name.
     Event(String, Event),
-    /// A message that this build does not use.
+    /// A message that the balancer does not use.
     Ignored,
 }
 
-type Parts<'a> = std::str::Split<'a, char>;
+type Fields<'a> = std::str::Split<'a, char>;
 
-fn part<'a>(p: &mut Parts<'a>, what: &str) -> Result<&'a str, String> {
-    match p.next() {
-        Some("") | None => Err(format!("{what} is missing")),
-        Some(v) => Ok(v),
+fn required<'a>(fields: &mut Fields<'a>, name: &str) -> Result<&'a str, String> {
+    match fields.next() {
+        Some("") | None => Err(format!("{name} is missing")),
+        Some(value) => Ok(value),
     }
 }
 
-fn number<T: std::str::FromStr>(p: &mut Parts, what: &str) -> Result<T, String> {
-    let v = part(p, what)?;
-    v.parse().map_err(|_| format!("{what} is not a number: {v:?}"))
+fn number<T: FromStr>(fields: &mut Fields, name: &str) -> Result<T, String> {
+    let value = required(fields, name)?;
+    value.parse().map_err(|_| format!("{name}: expected a number, got {value:?}"))
 }
 
-fn optional<T: std::str::FromStr>(p: &mut Parts, what: &str) -> Result<Option<T>, String> {
-    match part(p, what)? {
+fn optional_number<T: FromStr>(fields: &mut Fields, name: &str) -> Result<Option<T>, String> {
+    match required(fields, name)? {
         "-" => Ok(None),
-        v => v.parse().map(Some).map_err(|_| format!("{what} is not a number: {v:?}")),
+        value => {
+            value.parse().map(Some).map_err(|_| format!("{name}: expected a number or -, got {value:?}"))
+        }
     }
 }
 
-fn time(p: &mut Parts, what: &str) -> Result<Nanos, String> {
-    // A span may be negative on the wire (already over); it counts as 0.
-    Ok(number::<i128>(p, what)?.clamp(0, i128::from(u64::MAX / 4)) as Nanos)
+/// Reads a span in nanoseconds. A negative span is one that is already over and becomes 0.
+fn span(fields: &mut Fields, name: &str) -> Result<Nanos, String> {
+    Ok(number::<i128>(fields, name)?.clamp(0, i128::from(MAX_SPAN_NS)) as Nanos)
 }
 
-fn status(p: &mut Parts) -> Result<Status, String> {
-    Ok(match part(p, "reason")? {
+fn status(fields: &mut Fields) -> Result<Status, String> {
+    Ok(match required(fields, "reason")? {
         "done" => Status::Ok,
         "err" => Status::Error,
         "busy" => Status::Full,
@@ -82,234 +98,270 @@
         "ecanceled" => Status::Cancelled,
         "skipped" => Status::Moot,
         "enoent" => Status::Miss,
-        v => return Err(format!("reason is unknown: {v:?}")),
+        value => {
+            return Err(format!(
+            "reason: expected done, err, busy, etimedout, econnrefused, econnreset, ecanceled, skipped or \
+                 enoent, got {value:?}"
+        ))
+        }
     })
 }
 
-fn load(p: &mut Parts) -> Result<Vec<f64>, String> {
-    match part(p, "load")? {
+/// Reads a load report; an absent column becomes NaN.
+fn load(fields: &mut Fields) -> Result<Vec<f64>, String> {
+    match required(fields, "load")? {
         "-" => Ok(Vec::new()),
-        row => row
+        columns => columns
             .split(',')
-            .map(|v| if v == "-" { Ok(f64::NAN) } else { v.parse() })
+            .map(|value| if value == "-" { Ok(f64::NAN) } else { value.parse() })
             .collect::<Result<_, _>>()
-            .map_err(|_| format!("load is not a row of numbers: {row:?}")),
+            .map_err(|_| format!("load: expected comma-separated numbers, got {columns:?}")),
     }
 }
 
-fn instance(p: &mut Parts) -> Result<String, String> {
-    part(p, "instance").map(str::to_owned)
+/// Reads whether an answer was a hit: 1 is a hit, 0 or an absent value unknown, any other number a miss.
+fn hit(fields: &mut Fields) -> Result<Option<bool>, String> {
+    Ok(optional_number::<u32>(fields, "note")?.filter(|note| *note > 0).map(|note| note == 1))
+}
+
+fn instance(fields: &mut Fields) -> Result<String, String> {
+    required(fields, "instance").map(str::to_owned)
+}
+
+fn request(fields: &mut Fields) -> Result<Request, String> {
+    let mut request = Request {
+        id: number(fields, "corr")?,
+        class: number(fields, "grade")?,
+        tenant: optional_number(fields, "user_group")?,
+        ..Request::default()
+    };
+    let key = required(fields, "path_key")?;
+    if key != "-" {
+        let parsed = u64::from_str_radix(key, 16);
+        request.key = Some(parsed.map_err(|_| format!("path_key: expected a hex number or -, got {key:?}"))?);
+    }
+    request.remaining = span(fields, "remaining_ns")?;
+    request.hint = optional_number(fields, "estimate_ns")?;
+    let _size: Option<f64> = optional_number(fields, "object_size")?;
+    let flags: u64 = optional_number(fields, "flags")?.unwrap_or(0);
+    request.hint = request.hint.filter(|_| flags & FLAG_ESTIMATE_VALID != 0);
+    request.repeat = flags & FLAG_REPEAT != 0;
+    request.write = flags & FLAG_WRITE != 0;
+    Ok(request)
+}
+
+fn outcome(fields: &mut Fields) -> Result<Outcome, String> {
+    Ok(Outcome {
+        id: number(fields, "corr")?,
+        attempt: number(fields, "n")?,
+        server: server_id(required(fields, "node")?),
+        status: status(fields)?,
+        elapsed: span(fields, "elapsed_ns")?,
+        last: required(fields, "final")? == "1",
+        hit: hit(fields)?,
+        load: load(fields)?,
+    })
+}
+
+fn probe_outcome(fields: &mut Fields) -> Result<Event, String> {
+    Ok(Event::Probed {
+        server: server_id(required(fields, "node")?),
+        status: status(fields)?,
+        elapsed: span(fields, "elapsed_ns")?,
+        load: load(fields)?,
+    })
+}
+
+fn list_update(fields: &mut Fields) -> Result<Message, String> {
+    let instance = instance(fields)?;
+    let kind = match required(fields, "scope")? {
+        "D" => ListKind::Delta,
+        "F" => ListKind::Full,
+        "C" => ListKind::Cached,
+        "X" => ListKind::Failed,
+        value => return Err(format!("scope: expected D, F, C or X, got {value:?}")),
+    };
+    let _version = required(fields, "index")?;
+    let buffer = match fields.next() {
+        Some(value) if kind != ListKind::Failed => {
+            value.parse().map_err(|_| format!("buffer: expected a number, got {value:?}"))?
+        }
+        None if kind != ListKind::Failed => return Err("buffer is missing".into()),
+        _ => 0,
+    };
+    Ok(Message::ListUpdate { instance, kind, buffer })
+}
+
+fn list_entry(fields: &mut Fields) -> Result<Message, String> {
+    let name = required(fields, "node")?.to_owned();
+    let server = server_id(&name);
+    let zone = optional_number(fields, "failure_domain")?.unwrap_or(0);
+    let kind = optional_number(fields, "generation_hw")?.unwrap_or(0);
+    let cell = optional_number(fields, "cluster")?.unwrap_or(0);
+    let state = match required(fields, "state")? {
+        "IN" => State::Ready,
+        "LAME" => State::Draining,
+        "OUT" => State::Gone,
+        value => return Err(format!("state: expected IN, LAME or OUT, got {value:?}")),
+    };
+    let weight = optional_number(fields, "share")?.unwrap_or(1.0);
+    let started = optional_number(fields, "launched_ns")?.unwrap_or(0);
+    Ok(Message::Entry(name, Entry { server, zone, kind, cell, state, weight, started }))
 }
 
 /// Parses one input line (without its line end).
 pub fn parse_message(line: &str) -> Result<Message, String> {
-    let mut parts = line.split(' ');
-    let p = &mut parts;
-    let parsed = match part(p, "message name")? {
-        "arrival" => {
-            let instance = instance(p)?;
-            let mut r = Request {
-                id: number(p, "corr")?,
-                class: number(p, "grade")?,
-                tenant: optional(p, "user_group")?,
-                ..Request::default()
-            };
-            let key = part(p, "path_key")?;
-            if key != "-" {
-                let parsed = u64::from_str_radix(key, 16);
-                r.key = Some(parsed.map_err(|_| format!("path_key is not hex: {key:?}"))?);
-            }
-            r.remaining = time(p, "remaining_ns")?;
-            r.hint = optional(p, "estimate_ns")?;
-            let _size: Option<f64> = optional(p, "object_size")?;
-            let flags: u64 = optional(p, "flags")?.unwrap_or(0);
-            r.hint = r.hint.filter(|_| flags & 1 != 0);
-            r.repeat = flags & 2 != 0;
-            r.write = flags & 4 != 0;
-            Message::Event(instance, Event::Arrival(r))
-        }
-        "report_back" => Message::Event(
-            instance(p)?,
-            Event::Outcome(Outcome {
-                id: number(p, "corr")?,
-                attempt: number(p, "n")?,
-                server: server_id(part(p, "node")?),
-                status: status(p)?,
-                elapsed: time(p, "elapsed_ns")?,
-                last: part(p, "final")? == "1",
-                hit: optional::<u32>(p, "note")?.filter(|n| *n > 0).map(|n| n == 1),
-                load: load(p)?,
-            }),
-        ),
-        "tick_due" => Message::Event(instance(p)?, Event::Timer(number(p, "handle")?)),
-        "expired" => Message::Event(instance(p)?, Event::Expired(number(p, "corr")?)),
-        "first" => Message::Event(instance(p)?, Event::First(number(p, "corr")?)),
-        "sampled" => Message::Event(
-            instance(p)?,
-            Event::Probed {
-                server: server_id(part(p, "node")?),
-                status: status(p)?,
-                elapsed: time(p, "elapsed_ns")?,
-                load: load(p)?,
-            },
-        ),
-        "backends_changed" => {
-            let instance = instance(p)?;
-            let kind = match part(p, "scope")? {
-                "D" => ListKind::Delta,
-                "F" => ListKind::Full,
-                "C" => ListKind::Cached,
-                "X" => ListKind::Failed,
-                v => return Err(format!("scope is unknown: {v:?}")),
-            };
-            let _version = part(p, "index")?;
-            let buffer = match p.next() {
-                Some(v) if kind != ListKind::Failed => {
-                    v.parse().map_err(|_| format!("buffer is not a number: {v:?}"))?
-                }
-                None if kind != ListKind::Failed => return Err("buffer is missing".into()),
-                _ => 0,
-            };
-            Message::ListUpdate { instance, kind, buffer }
+    let mut fields = line.split(' ');
+    let fields = &mut fields;
+    let message = match required(fields, "message name")? {
+        "arrival" => Message::Event(instance(fields)?, Event::Arrival(request(fields)?)),
+        "report_back" => Message::Event(instance(fields)?, Event::Outcome(outcome(fields)?)),
+        "tick_due" => Message::Event(instance(fields)?, Event::Timer(number(fields, "handle")?)),
+        "expired" => Message::Event(instance(fields)?, Event::Expired(number(fields, "corr")?)),
+        "first" => Message::Event(instance(fields)?, Event::First(number(fields, "corr")?)),
+        "sampled" => Message::Event(instance(fields)?, probe_outcome(fields)?),
+        "backends_changed" => list_update(fields)?,
+        "entry" => list_entry(fields)?,
+        "page" => {
+            Message::ListBuffer { index: number(fields, "buffer")?, entry_count: number(fields, "records")? }
         }
-        "entry" => {
-            let name = part(p, "node")?.to_owned();
-            let server = server_id(&name);
-            let zone = optional(p, "failure_domain")?.unwrap_or(0);
-            let kind = optional(p, "generation_hw")?.unwrap_or(0);
-            let cell = optional(p, "cluster")?.unwrap_or(0);
-            let state = match part(p, "state")? {
-                "IN" => State::Ready,
-                "LAME" => State::Draining,
-                "OUT" => State::Gone,
-                v => return Err(format!("state is unknown: {v:?}")),
-            };
-            let weight = optional(p, "share")?.unwrap_or(1.0);
-            let started = optional(p, "launched_ns")?.unwrap_or(0);
-            Message::Entry(name, Entry { server, zone, kind, cell, state, weight, started })
-        }
-        "page" => Message::ListBuffer { index: number(p, "buffer")?, entry_count: number(p, "records")? },
-        "frame" => Message::BatchStart(number(p, "clock")?),
+        "frame" => Message::BatchStart(number(fields, "clock")?),
         "go" => Message::BatchEnd,
         "new_instance" => {
-            let instance = instance(p)?;
-            let seed = number(p, "salt")?;
-            Message::InstanceStart { instance, seed, settings: Box::new(parse_settings(p)?) }
+            let instance = instance(fields)?;
+            let seed = number(fields, "salt")?;
+            Message::InstanceStart { instance, seed, settings: Box::new(parse_settings(fields)?) }
         }
-        "shutdown" => Message::InstanceStop(instance(p)?),
+        "shutdown" => Message::InstanceStop(instance(fields)?),
         "peer" => Message::Ignored,
-        v => return Err(format!("message is unknown: {v:?}")),
+        name => return Err(format!("message name: expected a known message, got {name:?}")),
     };
-    Ok(parsed)
+    Ok(message)
 }
 
-fn set<T: std::str::FromStr>(slot: &mut T, path: &str, value: &str) -> Result<(), String> {
-    *slot = value.parse().map_err(|_| format!("{path} has a bad value: {value:?}"))?;
+/// Parses `value` into `field`; `path` names the setting in the error.
+fn set<T: FromStr>(field: &mut T, path: &str, value: &str) -> Result<(), String> {
+    let expected = std::any::type_name::<T>();
+    *field =
+        value.parse().map_err(|_| format!("{path}: expected a value of type {expected}, got {value:?}"))?;
     Ok(())
 }
 
-/// Reads settings from their `path=value` pairs; unknown paths are skipped.
-pub fn parse_settings<'a>(p: impl Iterator<Item = &'a str>) -> Result<Settings, String> {
-    let mut s = Settings::default();
-    let mut origin = -1i64;
-    for pair in p {
-        let Some((path, v)) = pair.split_once('=') else {
-            return Err(format!("setting has no value: {pair:?}"));
+/// Parses a duration in nanoseconds that may be written as a floating-point number.
+fn nanos_from_float(path: &str, value: &str) -> Result<Nanos, String> {
+    let nanos: f64 = value.parse().map_err(|_| format!("{path}: expected a number, got {value:?}"))?;
+    Ok(nanos as Nanos)
+}
+
+/// Parses settings from their `path=value` pairs; unknown paths are skipped.
+pub fn parse_settings<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<Settings, String> {
+    let mut settings = Settings::default();
+    let mut origin_kind = -1i64;
+    for pair in pairs {
+        let Some((path, value)) = pair.split_once('=') else {
+            return Err(format!("setting {pair:?}: expected path=value, got no value"));
         };
         let mut steps = path.splitn(3, '.');
         let step = (steps.next().unwrap_or(""), steps.next().unwrap_or(""), steps.next());
         match step {
-            ("categories" | "customers", "count", None) => {
-                let mut n = 0usize;
-                set(&mut n, path, v)?;
-                if n > 4096 {
-                    return Err(format!("{path} is too large: {n}"));
+            (table @ ("categories" | "customers"), "count", None) => {
+                let mut count = 0usize;
+                set(&mut count, path, value)?;
+                if count > MAX_SETTINGS_ROWS {
+                    return Err(format!("{path}: expected at most {MAX_SETTINGS_ROWS}, got {count}"));
                 }
-                if step.0 == "categories" {
-                    s.classes.resize(n, Class::default());
+                if table == "categories" {
+                    settings.classes.resize(count, Class::default());
                 } else {
-                    s.tenants.resize(n, Tenant::default());
+                    settings.tenants.resize(count, Tenant::default());
                 }
             }
-            ("categories", i, Some(field)) => {
-                let Some(c) = i.parse::<usize>().ok().and_then(|i| s.classes.get_mut(i)) else {
-                    continue;
-                };
-                match field {
-                    "promise_ns" => set(&mut c.aim, path, v)?,
-                    "deadline_ns" => set(&mut c.deadline, path, v)?,
-                    "dedup_window_ns" => set(&mut c.dedup_window, path, v)?,
-                    "late_value" => set(&mut c.late_value, path, v)?,
-                    "value" => set(&mut c.worth, path, v)?,
-                    "stream" => set(&mut c.stream, path, v)?,
-                    "effect" => {
-                        c.effect = match v {
-                            "safe" => Effect::Safe,
-                            "keyed" => Effect::Keyed,
-                            // Anything new is held to the strictest rule.
-                            _ => Effect::Unsafe,
-                        }
-                    }
-                    "group" => {
-                        c.group = match v {
-                            "all" => Group::All,
-                            "zone" => Group::Zone,
-                            _ => Group::Cell,
-                        }
-                    }
-                    _ => {}
+            ("categories", index, Some(field)) => {
+                let index = index.parse::<usize>().ok();
+                if let Some(class) = index.and_then(|index| settings.classes.get_mut(index)) {
+                    set_class_field(class, field, path, value)?;
                 }
             }
-            ("customers", i, Some("quota_rps")) => {
-                if let Some(t) = i.parse::<usize>().ok().and_then(|i| s.tenants.get_mut(i)) {
-                    set(&mut t.quota_rps, path, v)?;
+            ("customers", index, Some("quota_rps")) => {
+                let index = index.parse::<usize>().ok();
+                if let Some(tenant) = index.and_then(|index| settings.tenants.get_mut(index)) {
+                    set(&mut tenant.quota_rps, path, value)?;
                 }
             }
-            _ => match path {
-                "zone" => set(&mut s.zone, path, v)?,
-                "n_instances" => set(&mut s.proxies, path, v)?,
-                "self_index" => set(&mut s.me, path, v)?,
-                "discovery" => s.must_ask = v == "subscribe",
-                "family_info.mode" => s.aside = v == "aside",
-                "family_info.origin_kind" => set(&mut origin, path, v)?,
-                "family_info.origin_fall_multiple" => set(&mut s.origin_fall_multiple, path, v)?,
-                "family_info.origin_fall_ns" => s.origin_fall = whole(path, v)?,
-                "over_share_worth" => set(&mut s.over_share_worth, path, v)?,
-                "worth_by" => s.worth_by_work = v == "work",
-                "caps.attempts_cap" => set(&mut s.max_attempts, path, v)?,
-                "caps.cancelling" => set(&mut s.cancel, path, v)?,
-                "caps.probing" => set(&mut s.probe, path, v)?,
-                "caps.second_copies" => set(&mut s.second_copies, path, v)?,
-                "caps.max_retry_after_ns" => set(&mut s.max_retry_after, path, v)?,
-                "caps.connect_timeout_ns" => set(&mut s.connect_timeout, path, v)?,
-                "deductions.waste" => set(&mut s.waste_price, path, v)?,
-                "deductions.cross_zone" => set(&mut s.cross_zone_price, path, v)?,
-                "deductions.connection" => set(&mut s.connection_price, path, v)?,
-                "deductions.handshake" => set(&mut s.handshake_price, path, v)?,
-                "deductions.probe" => set(&mut s.probe_price, path, v)?,
-                "rules.cold_from" => set(&mut s.cold_from, path, v)?,
-                "rules.cold_ns" => set(&mut s.cold, path, v)?,
-                "rules.fall_multiple" => set(&mut s.fall_multiple, path, v)?,
-                "rules.fall_ns" => set(&mut s.fall, path, v)?,
-                "rules.drain_grace_ns" => set(&mut s.drain_grace, path, v)?,
-                "rules.must_ask_in_ns" => set(&mut s.must_ask_in, path, v)?,
-                "report.columns" => {
-                    s.report = v.split(',').filter(|c| !c.is_empty()).map(column).collect();
-                }
-                _ => {}
-            },
+            _ if path == "family_info.origin_kind" => set(&mut origin_kind, path, value)?,
+            _ => set_field(&mut settings, path, value)?,
         }
     }
-    s.origin_kind = u32::try_from(origin).ok();
-    Ok(s)
+    settings.origin_kind = u32::try_from(origin_kind).ok();
+    Ok(settings)
 }
 
-fn whole(path: &str, v: &str) -> Result<Nanos, String> {
-    let n: f64 = v.parse().map_err(|_| format!("{path} has a bad value: {v:?}"))?;
-    Ok(n as Nanos)
+fn set_class_field(class: &mut Class, field: &str, path: &str, value: &str) -> Result<(), String> {
+    match field {
+        "promise_ns" => set(&mut class.aim, path, value)?,
+        "deadline_ns" => set(&mut class.deadline, path, value)?,
+        "dedup_window_ns" => set(&mut class.dedup_window, path, value)?,
+        "late_value" => set(&mut class.late_value, path, value)?,
+        "value" => set(&mut class.worth, path, value)?,
+        "stream" => set(&mut class.stream, path, value)?,
+        "effect" => {
+            class.effect = match value {
+                "safe" => Effect::Safe,
+                "keyed" => Effect::Keyed,
+                // An unknown effect is held to the strictest rule.
+                _ => Effect::Unsafe,
+            }
+        }
+        "group" => {
+            class.group = match value {
+                "all" => Group::All,
+                "zone" => Group::Zone,
+                _ => Group::Cell,
+            }
+        }
+        _ => {}
+    }
+    Ok(())
+}
+
+fn set_field(settings: &mut Settings, path: &str, value: &str) -> Result<(), String> {
+    match path {
+        "zone" => set(&mut settings.zone, path, value)?,
+        "n_instances" => set(&mut settings.proxies, path, value)?,
+        "self_index" => set(&mut settings.me, path, value)?,
+        "discovery" => settings.must_ask = value == "subscribe",
+        "family_info.mode" => settings.aside = value == "aside",
+        "family_info.origin_fall_multiple" => set(&mut settings.origin_fall_multiple, path, value)?,
+        "family_info.origin_fall_ns" => settings.origin_fall = nanos_from_float(path, value)?,
+        "over_share_worth" => set(&mut settings.over_share_worth, path, value)?,
+        "worth_by" => settings.worth_by_work = value == "work",
+        "caps.attempts_cap" => set(&mut settings.max_attempts, path, value)?,
+        "caps.cancelling" => set(&mut settings.cancel, path, value)?,
+        "caps.probing" => set(&mut settings.probe, path, value)?,
+        "caps.second_copies" => set(&mut settings.second_copies, path, value)?,
+        "caps.max_retry_after_ns" => set(&mut settings.max_retry_after, path, value)?,
+        "caps.connect_timeout_ns" => set(&mut settings.connect_timeout, path, value)?,
+        "deductions.waste" => set(&mut settings.waste_price, path, value)?,
+        "deductions.cross_zone" => set(&mut settings.cross_zone_price, path, value)?,
+        "deductions.connection" => set(&mut settings.connection_price, path, value)?,
+        "deductions.handshake" => set(&mut settings.handshake_price, path, value)?,
+        "deductions.probe" => set(&mut settings.probe_price, path, value)?,
+        "rules.cold_from" => set(&mut settings.cold_from, path, value)?,
+        "rules.cold_ns" => set(&mut settings.cold, path, value)?,
+        "rules.fall_multiple" => set(&mut settings.fall_multiple, path, value)?,
+        "rules.fall_ns" => set(&mut settings.fall, path, value)?,
+        "rules.drain_grace_ns" => set(&mut settings.drain_grace, path, value)?,
+        "rules.must_ask_in_ns" => set(&mut settings.must_ask_in, path, value)?,
+        "report.columns" => {
+            let columns = value.split(',').filter(|column| !column.is_empty());
+            settings.report = columns.map(report_column).collect();
+        }
+        _ => {}
+    }
+    Ok(())
 }
 
-fn column(name: &str) -> Report {
+fn report_column(name: &str) -> Report {
     match name {
         "depth" => Report::Queue,
         "concurrent" => Report::Inflight,
@@ -319,25 +371,25 @@
     }
 }
 
-/// Appends one action of an instance to a reply; `name` gives the wire name of a server.
+/// Appends one action of an instance to a reply; `server_name` returns the name of a server on the wire.
 pub fn write_action(
-    out: &mut String,
+    reply: &mut String,
     instance: &str,
     action: &Action,
-    name: impl Fn(ServerId) -> Option<String>,
+    server_name: impl Fn(ServerId) -> Option<String>,
 ) {
-    let named = |s: &ServerId| name(*s).unwrap_or_default();
+    let name = |server: &ServerId| server_name(*server).unwrap_or_default();
     // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { id, server, timeout } => {
-            writeln!(out, "deliver {instance} {id} {} {timeout}", named(server))
+            writeln!(reply, "deliver {instance} {id} {} {timeout}", name(server))
         }
-        Action::Cancel { id, attempt } => writeln!(out, "abandon {instance} {id} {attempt}"),
-        Action::Refuse { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
-        Action::Fail { id } => writeln!(out, "abort {instance} {id}"),
-        Action::Timer { token, delay } => writeln!(out, "arm {instance} {token} {delay}"),
-        Action::Close(server) => writeln!(out, "close {instance} {}", named(server)),
-        Action::Probe(server) => writeln!(out, "touch {instance} {}", named(server)),
-        Action::Subscribe => writeln!(out, "stream_changes {instance} 1"),
+        Action::Cancel { id, attempt } => writeln!(reply, "abandon {instance} {id} {attempt}"),
+        Action::Refuse { id, retry_after } => writeln!(reply, "bounce {instance} {id} {retry_after}"),
+        Action::Fail { id } => writeln!(reply, "abort {instance} {id}"),
+        Action::Timer { token, delay } => writeln!(reply, "arm {instance} {token} {delay}"),
+        Action::Close(server) => writeln!(reply, "close {instance} {}", name(server)),
+        Action::Probe(server) => writeln!(reply, "touch {instance} {}", name(server)),
+        Action::Subscribe => writeln!(reply, "stream_changes {instance} 1"),
     };
 }
