--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Runs balancer instances for the simulator over standard input and output. Instances share no state.
 
-use calicosaddle::api::{Action, Entry, Event, ListKind, Nanos, ServerId};
-use calicosaddle::Brain;
+use calicosaddle::api::{Action, Event, ListKind, Nanos, ServerEntry, ServerId};
+use calicosaddle::Balancer;
 use freshness::Subscription;
 use rustc_hash::FxHashMap;
 use std::io::{self, BufRead, Write};
@@ -12,7 +12,7 @@
 
 /// One simulated proxy.
 struct Instance {
-    balancer: Brain,
+    balancer: Balancer,
     subscription: Subscription,
 }
 
@@ -28,7 +28,7 @@
     now: Nanos,
     instances: FxHashMap<String, Instance>,
     server_names: FxHashMap<ServerId, String>,
-    list_buffers: Vec<Vec<Entry>>,
+    list_buffers: Vec<Vec<ServerEntry>>,
     incomplete_list: Option<IncompleteList>,
     actions: Vec<Action>,
     reply: String,
@@ -52,7 +52,7 @@
             Message::Entry(..) => return Err("entry received outside a list".into()),
             Message::InstanceStart { instance, seed, settings } => {
                 let subscription = Subscription::new(&settings, seed);
-                let balancer = Brain::new(*settings, seed);
+                let balancer = Balancer::new(*settings, seed);
                 self.instances.insert(instance, Instance { balancer, subscription });
             }
             Message::ListUpdate { instance, kind, buffer } => {
@@ -64,7 +64,7 @@
                         .cloned()
                         .ok_or(format!("list buffer {buffer} was never filled"))?,
                 };
-                self.handle_event(&instance, Event::List { kind, entries });
+                self.handle_event(&instance, Event::ServerList { kind, entries });
             }
             Message::InstanceStop(instance) => {
                 self.instances.remove(&instance);
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -69,21 +69,24 @@
     let line = "report_back proxy_3 2526988522394052 1 node_abuevth done 18500000 1 2 3.5,-";
     let Ok(Message::Event(
         instance,
-        Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load }),
+        Event::Outcome(Outcome { id, attempt, server, status, elapsed, request_complete, hit, load_report }),
     )) = wire::parse_message(line)
     else {
         panic!("expected an outcome from {line:?}")
     };
     assert_eq!((instance.as_str(), id, attempt, elapsed), ("proxy_3", 2_526_988_522_394_052, 1, 18_500_000));
-    assert_eq!((server, status, last, hit), (server_id("node_abuevth"), Status::Ok, true, Some(false)));
-    assert!(load[0] == 3.5 && load[1].is_nan());
+    assert_eq!(
+        (server, status, request_complete, hit),
+        (server_id("node_abuevth"), Status::Ok, true, Some(false))
+    );
+    assert!(load_report[0] == 3.5 && load_report[1].is_nan());
     let line = "arrival proxy_3 7 1 - 91f03b7c55d20a64 -5 12000000 1.5 7";
     let Ok(Message::Event(_, Event::Arrival(request))) = wire::parse_message(line) else {
         panic!("expected an arrival from {line:?}")
     };
     assert_eq!((request.class, request.tenant, request.key), (1, None, Some(0x91f0_3b7c_55d2_0a64)));
-    assert_eq!((request.remaining, request.hint), (0, Some(12_000_000)));
-    assert_eq!((request.repeat, request.write), (true, true));
+    assert_eq!((request.remaining, request.expected_work), (0, Some(12_000_000)));
+    assert_eq!((request.is_retry, request.write), (true, true));
 }
 
 #[test]
@@ -95,7 +98,7 @@
         Action::Refuse { id: 2, retry_after: 5 },
         Action::Fail { id: 3 },
         Action::Timer { token: 4, delay: 6 },
-        Action::Close(server_id("node_a")),
+        Action::CloseIdle(server_id("node_a")),
         Action::Probe(server_id("node_a")),
         Action::Subscribe,
     ];
--- a/crates/calicosaddle/tests/common/mod.rs
+++ b/crates/calicosaddle/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use calicosaddle::api::*;
-use calicosaddle::Brain;
+use calicosaddle::Balancer;
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
@@ -14,59 +14,59 @@
 pub fn default_settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: 300 * MS,
+            latency_target: 300 * MS,
             deadline: 800 * MS,
-            worth: 1.0,
+            value: 1.0,
             dedup_window: SECOND,
             ..Class::default()
         }],
-        proxies: 4,
+        proxy_count: 4,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        allow_cancel: true,
+        hedging: true,
         max_retry_after: SECOND,
-        cold_from: 0.2,
-        cold: 20 * SECOND,
-        fall_multiple: 3.0,
-        fall: SECOND,
+        slow_start_initial_fraction: 0.2,
+        slow_start_duration: 20 * SECOND,
+        overload_multiple: 3.0,
+        overload_duration: SECOND,
         drain_grace: 500 * MS,
-        must_ask_in: 10 * SECOND,
+        discovery_poll_interval: 10 * SECOND,
         ..Settings::default()
     }
 }
 
 /// A ready, warmed-up server `server-{number}`; servers are distributed over three zones and six cells.
-pub fn entry(number: u64) -> Entry {
+pub fn entry(number: u64) -> ServerEntry {
     let server = server_id(&format!("server-{number}"));
-    Entry {
+    ServerEntry {
         server,
         zone: (number % 3) as u32,
         kind: 0,
         cell: (number % 6) as u32,
-        state: State::Ready,
+        state: ServerState::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     }
 }
 
-pub fn entries(numbers: std::ops::Range<u64>) -> Vec<Entry> {
+pub fn entries(numbers: std::ops::Range<u64>) -> Vec<ServerEntry> {
     numbers.map(entry).collect()
 }
 
 /// One proxy's balancer with a clock that the test advances.
 pub struct TestProxy {
-    pub balancer: Brain,
+    pub balancer: Balancer,
     pub now: Nanos,
     next_request: RequestId,
 }
 
 impl TestProxy {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        TestProxy { balancer: Brain::new(settings, seed), now: 1000 * SECOND, next_request: 1 }
+        TestProxy { balancer: Balancer::new(settings, seed), now: 1000 * SECOND, next_request: 1 }
     }
 
     /// A proxy that starts with a cached server list.
-    pub fn with_servers(settings: Settings, servers: Vec<Entry>) -> Self {
+    pub fn with_servers(settings: Settings, servers: Vec<ServerEntry>) -> Self {
         let mut proxy = Self::new(settings, 7);
         proxy.update_list(ListKind::Cached, servers);
         proxy
@@ -78,8 +78,8 @@
         actions
     }
 
-    pub fn update_list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.handle(Event::List { kind, entries })
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::ServerList { kind, entries })
     }
 
     /// Submits a request of class 0 for `key`; returns its id and the resulting actions.
@@ -116,8 +116,17 @@
         hit: Option<bool>,
         elapsed: Nanos,
     ) -> Vec<Action> {
-        let last = status == Status::Ok;
-        self.handle(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit, load: vec![] }))
+        let request_complete = status == Status::Ok;
+        self.handle(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            elapsed,
+            request_complete,
+            hit,
+            load_report: vec![],
+        }))
     }
 
     /// Submits a request, reports success for its first attempt and returns the server of that attempt.
--- a/crates/calicosaddle/tests/decisions.rs
+++ b/crates/calicosaddle/tests/decisions.rs
@@ -7,9 +7,9 @@
 
 const KEY: u64 = 0xabcdef;
 
-/// Settings of proxy `me` of a hundred.
-fn settings_of_hundred(me: u32) -> Settings {
-    Settings { proxies: 100, me, zone: me % 3, ..default_settings() }
+/// Settings of proxy `proxy_index` of a hundred.
+fn settings_of_hundred(proxy_index: u32) -> Settings {
+    Settings { proxy_count: 100, proxy_index, zone: proxy_index % 3, ..default_settings() }
 }
 
 /// Advances a linear congruential generator of keys.
@@ -19,7 +19,7 @@
 }
 
 /// Applies the list updates at a new proxy, then maps each of 400 keys to the server of its first attempt.
-fn first_servers(list_updates: &[(ListKind, Vec<Entry>)]) -> BTreeMap<u64, ServerId> {
+fn first_servers(list_updates: &[(ListKind, Vec<ServerEntry>)]) -> BTreeMap<u64, ServerId> {
     let mut proxy = TestProxy::new(default_settings(), 5);
     for (kind, entries) in list_updates {
         proxy.update_list(*kind, entries.clone());
@@ -67,7 +67,7 @@
         proxy.serve_background_keys(0..100);
     }
     let removed = entries(0..20).into_iter().find(|e| e.server == first).expect("a listed server");
-    proxy.update_list(ListKind::Delta, vec![Entry { state: State::Gone, ..removed }]);
+    proxy.update_list(ListKind::Delta, vec![ServerEntry { state: ServerState::Removed, ..removed }]);
     let next = proxy.serve(KEY, true);
     assert_ne!(next, first);
     proxy.serve_background_keys(0..100);
@@ -115,7 +115,7 @@
 fn a_draining_server_gets_no_new_requests() {
     let mut list = entries(0..3);
     let mut proxy = TestProxy::with_servers(default_settings(), list.clone());
-    list[0].state = State::Draining;
+    list[0].state = ServerState::Draining;
     proxy.update_list(ListKind::Delta, vec![list[0].clone()]);
     for key in 0..200 {
         assert_ne!(proxy.serve(key * 977, true), list[0].server);
@@ -165,7 +165,7 @@
     proxy.serve_background_keys(0..100);
     let first = proxy.serve(KEY, true);
     for _ in 0..3 {
-        for status in [Status::Timeout, Status::Full] {
+        for status in [Status::Timeout, Status::Rejected] {
             let (id, actions) = proxy.request(KEY);
             if sent_server(&actions) != Some(first) {
                 return;
@@ -180,7 +180,8 @@
 
 #[test]
 fn a_server_is_ejected_for_one_refused_but_only_for_several_broken_connections() {
-    for (status, rounds) in [(Status::Reset, 2..=4), (Status::Spoilt, 2..=4), (Status::ConnectFailed, 1..=1)]
+    for (status, rounds) in
+        [(Status::Reset, 2..=4), (Status::Malformed, 2..=4), (Status::ConnectFailed, 1..=1)]
     {
         let mut proxy = TestProxy::with_servers(default_settings(), entries(0..20));
         proxy.serve_background_keys(0..400);
@@ -220,7 +221,7 @@
         let mut server = sent_server(&actions).expect("the request is sent");
         if server == first {
             rejected += 1;
-            let actions = proxy.finish_attempt(id, 0, first, Status::Full, None);
+            let actions = proxy.finish_attempt(id, 0, first, Status::Rejected, None);
             server = sent_server(&actions).expect("the request is retried");
             proxy.finish_attempt(id, 1, server, Status::Ok, Some(false));
         } else {
@@ -242,7 +243,7 @@
         proxy.now += 2 * MS;
         proxy.serve(i * 7919, true);
     }
-    list[0].started = proxy.now;
+    list[0].started_at = proxy.now;
     let recovering = list[0].server;
     proxy.update_list(ListKind::Delta, vec![list[0].clone()]);
     let mut sent = 0;
@@ -256,7 +257,7 @@
 #[test]
 fn a_restarted_proxy_does_not_overload_a_server_in_slow_start() {
     let mut list = entries(0..4);
-    list[0].started = 999 * SECOND;
+    list[0].started_at = 999 * SECOND;
     let mut proxy = TestProxy::with_servers(default_settings(), list.clone());
     let sent = (0..200u64).filter(|i| proxy.serve(i * 7919, true) == list[0].server).count();
     assert!(
@@ -278,7 +279,7 @@
         }
         let latest_arrival = proxy.now - later_requests * 20 * MS;
         while let Some((_, id)) = waiting.pop_front_if(|(arrived, _)| *arrived <= latest_arrival) {
-            proxy.handle(Event::Expired(id));
+            proxy.handle(Event::Abandoned(id));
         }
     }
     refused
@@ -321,7 +322,7 @@
         proxy.now += 10 * MS;
         let (id, _) = proxy.submit(Request { key: Some(i), remaining: 500 * MS, ..Request::default() });
         if i < 40 {
-            proxy.handle(Event::Expired(id));
+            proxy.handle(Event::Abandoned(id));
         }
     }
     let mut admitted = 0;
@@ -372,7 +373,7 @@
 #[test]
 fn only_misses_and_writes_go_to_the_origin_of_a_cache_aside_fleet() {
     let mut settings = default_settings();
-    settings.aside = true;
+    settings.cache_aside = true;
     settings.origin_kind = Some(5);
     let mut list = entries(0..6);
     list[2].kind = 5;
@@ -399,7 +400,7 @@
 #[test]
 fn refused_connections_eject_a_removed_server_that_an_outdated_list_still_names() {
     let mut proxy = TestProxy::with_servers(
-        Settings { proxies: 100, must_ask: true, ..default_settings() },
+        Settings { proxy_count: 100, poll_discovery: true, ..default_settings() },
         entries(0..60),
     );
     proxy.serve_background_keys(0..300);
@@ -430,7 +431,8 @@
 
 #[test]
 fn a_proxy_with_little_traffic_ejects_a_silent_server_after_two_timeouts() {
-    let mut proxy = TestProxy::with_servers(Settings { proxies: 100, ..default_settings() }, entries(0..60));
+    let mut proxy =
+        TestProxy::with_servers(Settings { proxy_count: 100, ..default_settings() }, entries(0..60));
     proxy.serve_background_keys(0..300);
     // Builds up a low request rate, at which the balancer must not wait for a third time-out.
     for i in 0..600u64 {
@@ -457,27 +459,30 @@
 #[test]
 fn replacing_six_in_ten_servers_within_seconds_rarely_moves_keys_of_the_others() {
     let (mut moved, mut stayed) = (0, 0);
-    for me in 0..10 {
-        let mut proxy = TestProxy::with_servers(settings_of_hundred(me), entries(0..60));
+    for proxy_index in 0..10 {
+        let mut proxy = TestProxy::with_servers(settings_of_hundred(proxy_index), entries(0..60));
         proxy.serve_background_keys(0..200);
         let before: BTreeMap<u64, ServerId> =
             (0..200u64).map(|i| (i * 7919, proxy.serve(i * 7919, true))).collect();
         // In each of six rounds, six servers drain and are removed, and six new ones start.
         for round in 0..6u64 {
             let replaced = entries(round * 6..round * 6 + 6);
-            let replaced = |state| replaced.iter().map(|e| Entry { state, ..e.clone() }).collect::<Vec<_>>();
-            proxy.update_list(ListKind::Delta, replaced(State::Draining));
+            let replaced =
+                |state| replaced.iter().map(|e| ServerEntry { state, ..e.clone() }).collect::<Vec<_>>();
+            proxy.update_list(ListKind::Delta, replaced(ServerState::Draining));
             for i in 0..20u64 {
                 proxy.now += 60 * MS;
                 let server = proxy.serve(0x5555_0000 + (round * 20 + i) * 7919, true);
                 assert!(
-                    replaced(State::Gone).iter().all(|e| e.server != server),
+                    replaced(ServerState::Removed).iter().all(|e| e.server != server),
                     "sent to a draining server"
                 );
             }
-            proxy.update_list(ListKind::Delta, replaced(State::Gone));
-            let started = proxy.now;
-            let new = entries(100 + round * 6..106 + round * 6).into_iter().map(|e| Entry { started, ..e });
+            proxy.update_list(ListKind::Delta, replaced(ServerState::Removed));
+            let started_at = proxy.now;
+            let new = entries(100 + round * 6..106 + round * 6)
+                .into_iter()
+                .map(|e| ServerEntry { started_at, ..e });
             proxy.update_list(ListKind::Delta, new.collect());
         }
         // After the slow start of the new servers, keys move only to these.
@@ -499,7 +504,8 @@
 
 #[test]
 fn the_ejection_threshold_follows_the_request_rate_per_server_of_the_subset_not_of_the_fleet() {
-    let mut proxy = TestProxy::with_servers(Settings { proxies: 300, ..default_settings() }, entries(0..200));
+    let mut proxy =
+        TestProxy::with_servers(Settings { proxy_count: 300, ..default_settings() }, entries(0..200));
     for key in 0..400u64 {
         proxy.now += 50 * MS;
         proxy.serve(key * 104_729, true);
@@ -508,12 +514,12 @@
     let (id, actions) = proxy.request(7);
     let first = sent_server(&actions).expect("the request is sent");
     proxy.finish_attempt_after(id, 0, first, Status::Timeout, None, 400 * MS);
-    assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+    assert_eq!(proxy.balancer.unavailable_servers(proxy.now), 0);
     // The second consecutive time-out is.
     let (id, actions) = proxy.request(7);
     assert_eq!(sent_server(&actions), Some(first));
     proxy.finish_attempt_after(id, 0, first, Status::Timeout, None, 400 * MS);
-    assert_eq!(proxy.balancer.avoided(proxy.now), 1);
+    assert_eq!(proxy.balancer.unavailable_servers(proxy.now), 1);
 }
 
 #[test]
@@ -524,11 +530,11 @@
         proxy.now += 5 * MS;
         let (id, actions) = proxy.request(key * 104_729);
         let first = sent_server(&actions).expect("the request is sent");
-        let actions = proxy.finish_attempt_after(id, 0, first, Status::Moot, None, 0);
+        let actions = proxy.finish_attempt_after(id, 0, first, Status::NotSent, None, 0);
         let second =
             sent_server(&actions).unwrap_or_else(|| panic!("request {key} is not retried: {actions:?}"));
         assert!(
-            second != first && proxy.balancer.avoided(proxy.now) == 0,
+            second != first && proxy.balancer.unavailable_servers(proxy.now) == 0,
             "request {key}: retried at the same server, or a server is ejected"
         );
         proxy.finish_attempt(id, 1, second, Status::Ok, Some(true));
@@ -537,8 +543,8 @@
 
 #[test]
 fn an_unsent_attempt_leaves_its_slow_start_capacity_to_the_next_request() {
-    let started = 1000 * SECOND;
-    let list: Vec<Entry> = entries(0..2).into_iter().map(|e| Entry { started, ..e }).collect();
+    let started_at = 1000 * SECOND;
+    let list: Vec<ServerEntry> = entries(0..2).into_iter().map(|e| ServerEntry { started_at, ..e }).collect();
     let mut proxy = TestProxy::with_servers(default_settings(), list);
     // Use up what both servers may get at this moment.
     let mut sent = 0;
@@ -555,7 +561,7 @@
         })
         .expect("a server that may get one more request");
     assert!(sent_server(&proxy.request(7).1).is_none());
-    let actions = proxy.finish_attempt_after(id, 0, server, Status::Moot, None, 0);
+    let actions = proxy.finish_attempt_after(id, 0, server, Status::NotSent, None, 0);
     assert!(sent_server(&actions).is_none(), "the other server may get one more request too");
     assert_eq!(sent_server(&proxy.request(7).1), Some(server));
 }
@@ -574,7 +580,7 @@
         if zone_of(server) == Some(1) {
             lost += 1;
             proxy.finish_attempt_after(id, 0, server, Status::Timeout, None, 400 * MS);
-            proxy.handle(Event::Expired(id));
+            proxy.handle(Event::Abandoned(id));
         } else {
             proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
         }
@@ -611,7 +617,7 @@
         }
         let latest_arrival = proxy.now - 320 * MS;
         while let Some((_, id, server)) = waiting.pop_front_if(|(arrived, ..)| *arrived <= latest_arrival) {
-            proxy.handle(Event::Expired(id));
+            proxy.handle(Event::Abandoned(id));
             proxy.finish_attempt(id, 0, server, Status::Timeout, None);
         }
     }
@@ -660,10 +666,10 @@
 }
 
 /// Settings, servers and origin of a fleet whose proxies fetch misses from the origin themselves.
-fn cache_aside_fleet() -> (Settings, Vec<Entry>, ServerId) {
+fn cache_aside_fleet() -> (Settings, Vec<ServerEntry>, ServerId) {
     let mut list = entries(0..12);
-    list.push(Entry { kind: 1, ..entry(99) });
-    (Settings { aside: true, origin_kind: Some(1), ..default_settings() }, list, server_id("server-99"))
+    list.push(ServerEntry { kind: 1, ..entry(99) });
+    (Settings { cache_aside: true, origin_kind: Some(1), ..default_settings() }, list, server_id("server-99"))
 }
 
 /// Requests keys that miss, ends each fetch at the origin with `status` and returns the number of fetches.
@@ -736,11 +742,15 @@
 #[test]
 fn the_hedge_delay_grows_with_expected_work_so_that_heavy_requests_do_not_look_silent() {
     let mut proxy = TestProxy::with_servers(default_settings(), entries(0..10));
-    let with_hint =
-        |hint| Request { key: Some(KEY), hint: Some(hint), remaining: 800 * MS, ..Request::default() };
+    let with_expected_work = |expected_work| Request {
+        key: Some(KEY),
+        expected_work: Some(expected_work),
+        remaining: 800 * MS,
+        ..Request::default()
+    };
     for _ in 0..40 {
         proxy.now += 100 * MS;
-        let (id, actions) = proxy.submit(with_hint(MS));
+        let (id, actions) = proxy.submit(with_expected_work(MS));
         let server = sent_server(&actions).expect("the request is sent");
         proxy.finish_attempt(id, 0, server, Status::Ok, Some(true));
     }
@@ -751,8 +761,8 @@
         });
         delays.min()
     };
-    let usual = hedge_delay(&proxy.submit(with_hint(MS)).1).expect("a hedge timer");
-    let heavy = hedge_delay(&proxy.submit(with_hint(10 * MS)).1).unwrap_or(Nanos::MAX);
+    let usual = hedge_delay(&proxy.submit(with_expected_work(MS)).1).expect("a hedge timer");
+    let heavy = hedge_delay(&proxy.submit(with_expected_work(10 * MS)).1).unwrap_or(Nanos::MAX);
     assert!(
         heavy > usual * 2,
         "hedge delay for ten times the usual work: {heavy} ns, expected over twice the usual {usual} ns"
@@ -775,7 +785,7 @@
         let attempt = u32::from(!actions.is_empty());
         let server = sent_server(&actions).unwrap_or(server);
         let actions = proxy.finish_attempt(id, attempt, server, Status::Ok, Some(true));
-        closed += actions.iter().filter(|a| matches!(a, Action::Close(_))).count();
+        closed += actions.iter().filter(|a| matches!(a, Action::CloseIdle(_))).count();
     }
     closed
 }
@@ -783,16 +793,16 @@
 #[test]
 fn idle_connections_are_closed_when_too_costly_to_keep_or_when_servers_refuse_new_ones() {
     let with_prices =
-        Settings { connection_price: 0.2, handshake_price: 0.1, proxies: 1000, ..default_settings() };
+        Settings { connection_price: 0.2, handshake_price: 0.1, proxy_count: 1000, ..default_settings() };
     let closed = closed_connections(with_prices.clone(), 200 * MS, false);
     assert!(closed > 150, "many proxies with little traffic closed {closed} connections, expected over 150");
-    let few_busy_proxies = Settings { proxies: 4, ..with_prices };
+    let few_busy_proxies = Settings { proxy_count: 4, ..with_prices };
     assert_eq!(closed_connections(few_busy_proxies, 5 * MS, false), 0, "few busy proxies closed connections");
     let closed = closed_connections(default_settings(), 200 * MS, false);
     assert_eq!(closed, 0, "closed connections although they have no price");
     let closed = closed_connections(default_settings(), 200 * MS, true);
     assert!(closed > 100, "closed {closed} connections while servers refuse new ones, expected over 100");
-    let many_proxies = Settings { proxies: 100, ..default_settings() };
+    let many_proxies = Settings { proxy_count: 100, ..default_settings() };
     assert_eq!(closed_connections(many_proxies, 200 * MS, true), 0, "closed connections of a subset");
 }
 
@@ -800,10 +810,12 @@
 /// proxy's zone.
 fn connections_per_server(proxies: u32) -> (BTreeMap<ServerId, u32>, f64) {
     let (mut connections, mut cross_zone_fraction) = (BTreeMap::new(), 0.0);
-    for me in 0..proxies {
-        let zone = me % 3;
-        let mut proxy =
-            TestProxy::with_servers(Settings { proxies, me, zone, ..default_settings() }, entries(0..60));
+    for proxy_index in 0..proxies {
+        let zone = proxy_index % 3;
+        let mut proxy = TestProxy::with_servers(
+            Settings { proxy_count: proxies, proxy_index, zone, ..default_settings() },
+            entries(0..60),
+        );
         let mut servers: Vec<ServerId> = (0..400u64).map(|i| proxy.serve(i * 7919, true)).collect();
         let other_zones = entries(0..60).into_iter().filter(|e| e.zone != zone);
         let other_zones: Vec<ServerId> = other_zones.map(|e| e.server).collect();
@@ -842,12 +854,12 @@
     let servers = 60;
     let load = 0.55;
     let recovering = server_id("server-7");
-    let started = 1000 * SECOND;
-    let proxies = (0..100).map(|me| {
-        let mut proxy = TestProxy::new(settings_of_hundred(me), 1 + u64::from(me));
+    let started_at = 1000 * SECOND;
+    let proxies = (0..100).map(|proxy_index| {
+        let mut proxy = TestProxy::new(settings_of_hundred(proxy_index), 1 + u64::from(proxy_index));
         proxy.update_list(ListKind::Cached, entries(0..servers));
         // The proxies have traffic counts when the server starts.
-        proxy.now = started - 10 * SECOND;
+        proxy.now = started_at - 10 * SECOND;
         proxy
     });
     let mut proxies: Vec<TestProxy> = proxies.collect();
@@ -856,13 +868,13 @@
     let (mut sends, mut key) = (BTreeMap::new(), 1u64);
     for tick in 0..(34 * 16) {
         for proxy in &mut proxies {
-            let now = started - 10 * SECOND + tick * SECOND / 16;
+            let now = started_at - 10 * SECOND + tick * SECOND / 16;
             proxy.now = now;
-            if now == started {
-                proxy.update_list(ListKind::Delta, vec![Entry { started, ..entry(7) }]);
+            if now == started_at {
+                proxy.update_list(ListKind::Delta, vec![ServerEntry { started_at, ..entry(7) }]);
             }
-            if proxy.serve(next_key(&mut key), false) == recovering && now >= started {
-                *sends.entry((now - started) / SECOND).or_insert(0.0) += 1.0;
+            if proxy.serve(next_key(&mut key), false) == recovering && now >= started_at {
+                *sends.entry((now - started_at) / SECOND).or_insert(0.0) += 1.0;
             }
         }
     }
@@ -890,22 +902,23 @@
     seconds: u64,
     accepts: impl Fn(Nanos, u32, ServerId, &BTreeMap<ServerId, BTreeSet<u32>>) -> bool,
 ) -> (Vec<u32>, BTreeMap<ServerId, BTreeSet<u32>>) {
-    let mut proxies: Vec<TestProxy> =
-        (0..100).map(|me| TestProxy::with_servers(settings_of_hundred(me), entries(0..60))).collect();
+    let mut proxies: Vec<TestProxy> = (0..100)
+        .map(|proxy_index| TestProxy::with_servers(settings_of_hundred(proxy_index), entries(0..60)))
+        .collect();
     let start = proxies[0].now;
     let (mut refused, mut served, mut key) = (vec![0; seconds as usize], BTreeMap::new(), 1u64);
     let mut served_last: BTreeMap<ServerId, BTreeSet<u32>> = BTreeMap::new();
     for tick in 0..seconds * 16 {
-        for (me, proxy) in (0u32..).zip(&mut proxies) {
+        for (proxy_index, proxy) in (0u32..).zip(&mut proxies) {
             proxy.now = start + tick * SECOND / 16;
             let (id, mut actions) = proxy.request(next_key(&mut key));
             for attempt in 0.. {
                 let Some(server) = sent_server(&actions) else { break };
-                if accepts(proxy.now - start, me, server, &served) {
+                if accepts(proxy.now - start, proxy_index, server, &served) {
                     proxy.finish_attempt(id, attempt, server, Status::Ok, Some(true));
-                    served.entry(server).or_default().insert(me);
+                    served.entry(server).or_default().insert(proxy_index);
                     if tick + 16 >= seconds * 16 {
-                        served_last.entry(server).or_default().insert(me);
+                        served_last.entry(server).or_default().insert(proxy_index);
                     }
                     break;
                 }
@@ -941,9 +954,9 @@
 #[test]
 fn a_server_at_its_connection_limit_keeps_serving_the_proxies_connected_to_it() {
     let limited = server_id("server-7");
-    let (refused, served_last) = serve_with_refused_connections(20, |_, me, server, served| {
+    let (refused, served_last) = serve_with_refused_connections(20, |_, proxy_index, server, served| {
         server != limited
-            || served.get(&server).is_none_or(|proxies| proxies.contains(&me) || proxies.len() < 4)
+            || served.get(&server).is_none_or(|proxies| proxies.contains(&proxy_index) || proxies.len() < 4)
     });
     let still_served = served_last.get(&limited).map(BTreeSet::len);
     assert_eq!(still_served, Some(4), "the first four proxies do not all use their connection");
@@ -953,12 +966,13 @@
 #[test]
 fn a_hot_key_is_answered_when_all_ranked_servers_are_in_slow_start() {
     for (proxies, first_key) in [(4, 0), (4, 50), (4, 100), (100, 0), (100, 50), (100, 100)] {
-        let mut proxy = TestProxy::with_servers(Settings { proxies, ..default_settings() }, entries(0..60));
+        let mut proxy =
+            TestProxy::with_servers(Settings { proxy_count: proxies, ..default_settings() }, entries(0..60));
         proxy.serve_background_keys(0..20);
-        let started = proxy.now;
+        let started_at = proxy.now;
         proxy.update_list(
             ListKind::Full,
-            entries(100..104).into_iter().map(|e| Entry { started, ..e }).collect(),
+            entries(100..104).into_iter().map(|e| ServerEntry { started_at, ..e }).collect(),
         );
         for i in 0..400u64 {
             proxy.now += MS;
@@ -974,14 +988,14 @@
 #[test]
 fn a_subset_is_the_same_after_a_restart_and_hardly_changes_with_the_list() {
     let (mut moved, mut total) = (0, 0);
-    for me in 0..30 {
-        let mut proxy = TestProxy::with_servers(settings_of_hundred(me), entries(0..60));
-        let mut restarted = TestProxy::new(settings_of_hundred(me), 99);
+    for proxy_index in 0..30 {
+        let mut proxy = TestProxy::with_servers(settings_of_hundred(proxy_index), entries(0..60));
+        let mut restarted = TestProxy::new(settings_of_hundred(proxy_index), 99);
         restarted.update_list(ListKind::Cached, entries(0..60));
         let before: Vec<ServerId> = (0..200u64).map(|i| proxy.serve(i * 7919, true)).collect();
         let after_restart: Vec<ServerId> = (0..200u64).map(|i| restarted.serve(i * 7919, true)).collect();
         assert_eq!(before, after_restart);
-        let mut with_shorter_list = TestProxy::with_servers(settings_of_hundred(me), entries(0..59));
+        let mut with_shorter_list = TestProxy::with_servers(settings_of_hundred(proxy_index), entries(0..59));
         let after: Vec<ServerId> = (0..200u64).map(|i| with_shorter_list.serve(i * 7919, true)).collect();
         let removed = entry(59).server;
         let on_remaining = before.iter().zip(&after).filter(|(before, _)| **before != removed);
@@ -1016,7 +1030,7 @@
         refused += u32::from(sent_server(&actions).is_none());
         let mut attempt = 0;
         while let Some(server) = sent_server(&actions) {
-            actions = proxy.finish_attempt(id, attempt, server, Status::Full, None);
+            actions = proxy.finish_attempt(id, attempt, server, Status::Rejected, None);
             attempt += 1;
         }
     }
@@ -1033,7 +1047,7 @@
         proxy.now += 20 * MS;
         let (id, actions) = proxy.request(0x8000_0000 + i * 7919);
         let server = sent_server(&actions).expect("the request is sent");
-        let actions = proxy.finish_attempt(id, 0, server, Status::Full, None);
+        let actions = proxy.finish_attempt(id, 0, server, Status::Rejected, None);
         if let Some(next) = sent_server(&actions) {
             retried += 1;
             proxy.finish_attempt(id, 1, next, Status::Ok, Some(true));
@@ -1053,7 +1067,7 @@
     let (listed, unlisted) = (entry(2).server, entry(9).server);
     assert!(servers_of_new_keys(&mut proxy).contains(&listed));
     // The event carries the whole set, which may name servers that no list has named yet.
-    proxy.handle(Event::Withdrawn(vec![listed, unlisted]));
+    proxy.handle(Event::OperatorDrained(vec![listed, unlisted]));
     assert!(!servers_of_new_keys(&mut proxy).contains(&listed));
     for kind in [ListKind::Full, ListKind::Delta, ListKind::Cached] {
         proxy.update_list(kind, entries(0..10));
@@ -1064,7 +1078,7 @@
     proxy.update_list(ListKind::Full, entries(3..6));
     proxy.update_list(ListKind::Full, entries(0..10));
     assert!(!servers_of_new_keys(&mut proxy).contains(&listed));
-    proxy.handle(Event::Withdrawn(vec![unlisted]));
+    proxy.handle(Event::OperatorDrained(vec![unlisted]));
     let servers = servers_of_new_keys(&mut proxy);
     assert!(servers.contains(&listed) && !servers.contains(&unlisted));
     // An attempt pending at the time of the withdrawal ends as usual; its retry goes to another server.
@@ -1075,7 +1089,7 @@
         })
         .expect("a key of the listed server");
     assert_eq!(final_answers(&actions), 0);
-    proxy.handle(Event::Withdrawn(vec![listed]));
+    proxy.handle(Event::OperatorDrained(vec![listed]));
     let retry = proxy.finish_attempt(id, 0, listed, Status::Reset, None);
     assert!(
         sent_server(&retry).is_some_and(|server| server != listed),
--- a/crates/calicosaddle/tests/rules.rs
+++ b/crates/calicosaddle/tests/rules.rs
@@ -37,13 +37,13 @@
 const ATTEMPT_STATUSES: [Status; 10] = [
     Status::Ok,
     Status::Error,
-    Status::Full,
+    Status::Rejected,
     Status::Timeout,
     Status::ConnectFailed,
     Status::Reset,
-    Status::Spoilt,
+    Status::Malformed,
     Status::Cancelled,
-    Status::Moot,
+    Status::NotSent,
     Status::Miss,
 ];
 
@@ -69,7 +69,7 @@
     settings: Settings,
     requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<(Nanos, u64)>,
-    servers: BTreeMap<ServerId, Entry>,
+    servers: BTreeMap<ServerId, ServerEntry>,
 }
 
 impl RuleChecker {
@@ -100,8 +100,9 @@
                     let may_have_run = request.attempts.iter().any(|a| a.pending || a.may_have_run);
                     assert!(
                         !may_have_run
-                            || class.effect == Effect::Safe
-                            || (class.effect == Effect::Keyed && class.group == Group::All)
+                            || class.retry_safety == RetrySafety::Safe
+                            || (class.retry_safety == RetrySafety::Keyed
+                                && class.dedup_scope == DedupScope::All)
                     );
                     request.closed = true;
                 }
@@ -112,11 +113,11 @@
                 }
                 Action::Timer { token, delay } => self.timers.push((now + delay, token)),
                 Action::Cancel { id, attempt } => {
-                    assert!(self.settings.cancel);
+                    assert!(self.settings.allow_cancel);
                     assert!((attempt as usize) < self.requests[&id].attempts.len());
                 }
-                Action::Close(_) => {}
-                Action::Probe(_) => assert!(self.settings.probe),
+                Action::CloseIdle(_) => {}
+                Action::Probe(_) => assert!(self.settings.allow_probe),
                 Action::Subscribe => panic!("the balancer subscribed to the server list"),
             }
         }
@@ -127,27 +128,27 @@
         let request = self.requests.get_mut(&id).expect("a submitted request");
         assert!(!request.closed, "sent after the final answer");
         assert!(now <= request.deadline, "sent after the deadline");
-        assert_eq!(self.servers[&server].state, State::Ready, "sent to a draining or removed server");
+        assert_eq!(self.servers[&server].state, ServerState::Ready, "sent to a draining or removed server");
         assert!(request.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
         assert!(
-            self.settings.second_copies || request.attempts.iter().all(|a| !a.pending),
+            self.settings.hedging || request.attempts.iter().all(|a| !a.pending),
             "two attempts at once although hedging is off"
         );
         let class = &self.settings.classes[request.class];
         for attempt in request.attempts.iter().filter(|a| a.pending || a.may_have_run) {
             let (old, new) = (&self.servers[&attempt.server], &self.servers[&server]);
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request sent again after it may have run"),
-                Effect::Keyed => {
+            match class.retry_safety {
+                RetrySafety::Safe => {}
+                RetrySafety::Unsafe => panic!("an unsafe request sent again after it may have run"),
+                RetrySafety::Keyed => {
                     assert!(
                         now < attempt.sent_at + class.dedup_window,
                         "sent again after the deduplication window"
                     );
-                    match class.group {
-                        Group::All => {}
-                        Group::Zone => assert_eq!(old.zone, new.zone),
-                        Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
+                    match class.dedup_scope {
+                        DedupScope::All => {}
+                        DedupScope::Zone => assert_eq!(old.zone, new.zone),
+                        DedupScope::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
                     }
                 }
             }
@@ -169,16 +170,16 @@
         (attempt.pending, attempt.may_have_run) = (false, !status.never_ran());
         let (server, sent_at) = (attempt.server, attempt.sent_at);
         request.closed |= status == Status::Ok;
-        let last = request.closed;
+        let request_complete = request.closed;
         let event = Event::Outcome(Outcome {
             id,
             attempt: number as u32,
             server,
             status,
             elapsed: now - sent_at,
-            last,
+            request_complete,
             hit: None,
-            load: vec![],
+            load_report: vec![],
         });
         let actions = self.proxy.handle(event);
         self.check_actions(actions);
@@ -246,8 +247,8 @@
             }
             Step::AdvanceClock { ms } => self.advance_clock(self.proxy.now + ms * MS),
             Step::ChangeServer { server, state } => {
-                let state = [State::Ready, State::Draining, State::Gone][state];
-                let changed = Entry { state, ..entry(server) };
+                let state = [ServerState::Ready, ServerState::Draining, ServerState::Removed][state];
+                let changed = ServerEntry { state, ..entry(server) };
                 self.servers.insert(changed.server, changed.clone());
                 let actions = self.proxy.update_list(ListKind::Delta, vec![changed]);
                 self.check_actions(actions);
@@ -257,7 +258,7 @@
                     self.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(index % open.len().max(1)) {
                     self.requests.get_mut(id).expect("a submitted request").closed = true;
-                    let actions = self.proxy.handle(Event::Expired(*id));
+                    let actions = self.proxy.handle(Event::Abandoned(*id));
                     self.check_actions(actions);
                 }
             }
@@ -283,10 +284,10 @@
 fn settings_with_all_effects() -> Settings {
     let mut settings = default_settings();
     let base = settings.classes[0].clone();
-    let keyed = |group| Class { effect: Effect::Keyed, group, ..base.clone() };
-    settings.classes.push(keyed(Group::All));
-    settings.classes.push(keyed(Group::Cell));
-    settings.classes.push(Class { effect: Effect::Unsafe, ..base.clone() });
+    let keyed = |dedup_scope| Class { retry_safety: RetrySafety::Keyed, dedup_scope, ..base.clone() };
+    settings.classes.push(keyed(DedupScope::All));
+    settings.classes.push(keyed(DedupScope::Cell));
+    settings.classes.push(Class { retry_safety: RetrySafety::Unsafe, ..base.clone() });
     settings
 }
 
@@ -298,18 +299,18 @@
 #[test]
 fn request_rules_hold_without_hedging_or_cancellation_and_with_polled_lists() {
     assert_rules_hold(Settings {
-        second_copies: false,
-        must_ask: true,
-        cancel: false,
+        hedging: false,
+        poll_discovery: true,
+        allow_cancel: false,
         ..settings_with_all_effects()
     });
 }
 
 #[test]
 fn request_rules_hold_when_the_proxy_fetches_misses_from_the_origin() {
-    assert_rules_hold(Settings { aside: true, origin_kind: Some(0), ..settings_with_all_effects() });
+    assert_rules_hold(Settings { cache_aside: true, origin_kind: Some(0), ..settings_with_all_effects() });
     assert_rules_hold(Settings {
-        aside: true,
+        cache_aside: true,
         origin_kind: Some(1),
         max_attempts: 2,
         ..settings_with_all_effects()
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -59,9 +59,9 @@
 impl From<&Settings> for PollConfig {
     fn from(s: &Settings) -> PollConfig {
         PollConfig {
-            pushed: !s.must_ask,
-            proxies: s.proxies,
-            max_poll_interval: s.must_ask_in,
+            pushed: !s.poll_discovery,
+            proxies: s.proxy_count,
+            max_poll_interval: s.discovery_poll_interval,
             drain_grace: s.drain_grace,
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -32,7 +32,7 @@
         entry_count: usize,
     },
     /// One entry of the server list, with the server's name.
-    Entry(String, Entry),
+    Entry(String, ServerEntry),
     /// A balancer instance starts.
     InstanceStart {
         /// Instance name.
@@ -91,12 +91,12 @@
     Ok(match required(fields, "reason")? {
         "done" => Status::Ok,
         "err" => Status::Error,
-        "busy" => Status::Full,
+        "busy" => Status::Rejected,
         "etimedout" => Status::Timeout,
         "econnrefused" => Status::ConnectFailed,
         "econnreset" => Status::Reset,
         "ecanceled" => Status::Cancelled,
-        "skipped" => Status::Moot,
+        "skipped" => Status::NotSent,
         "enoent" => Status::Miss,
         value => {
             return Err(format!(
@@ -108,7 +108,7 @@
 }
 
 /// Reads a load report; an absent column becomes NaN.
-fn load(fields: &mut Fields) -> Result<Vec<f64>, String> {
+fn load_report(fields: &mut Fields) -> Result<Vec<f64>, String> {
     match required(fields, "load")? {
         "-" => Ok(Vec::new()),
         columns => columns
@@ -141,11 +141,11 @@
         request.key = Some(parsed.map_err(|_| format!("path_key: expected a hex number or -, got {key:?}"))?);
     }
     request.remaining = span(fields, "remaining_ns")?;
-    request.hint = optional_number(fields, "estimate_ns")?;
+    request.expected_work = optional_number(fields, "estimate_ns")?;
     let _size: Option<f64> = optional_number(fields, "object_size")?;
     let flags: u64 = optional_number(fields, "flags")?.unwrap_or(0);
-    request.hint = request.hint.filter(|_| flags & FLAG_ESTIMATE_VALID != 0);
-    request.repeat = flags & FLAG_REPEAT != 0;
+    request.expected_work = request.expected_work.filter(|_| flags & FLAG_ESTIMATE_VALID != 0);
+    request.is_retry = flags & FLAG_REPEAT != 0;
     request.write = flags & FLAG_WRITE != 0;
     Ok(request)
 }
@@ -157,9 +157,9 @@
         server: server_id(required(fields, "node")?),
         status: status(fields)?,
         elapsed: span(fields, "elapsed_ns")?,
-        last: required(fields, "final")? == "1",
+        request_complete: required(fields, "final")? == "1",
         hit: hit(fields)?,
-        load: load(fields)?,
+        load_report: load_report(fields)?,
     })
 }
 
@@ -168,7 +168,7 @@
         server: server_id(required(fields, "node")?),
         status: status(fields)?,
         elapsed: span(fields, "elapsed_ns")?,
-        load: load(fields)?,
+        load_report: load_report(fields)?,
     })
 }
 
@@ -199,14 +199,14 @@
     let kind = optional_number(fields, "generation_hw")?.unwrap_or(0);
     let cell = optional_number(fields, "cluster")?.unwrap_or(0);
     let state = match required(fields, "state")? {
-        "IN" => State::Ready,
-        "LAME" => State::Draining,
-        "OUT" => State::Gone,
+        "IN" => ServerState::Ready,
+        "LAME" => ServerState::Draining,
+        "OUT" => ServerState::Removed,
         value => return Err(format!("state: expected IN, LAME or OUT, got {value:?}")),
     };
     let weight = optional_number(fields, "share")?.unwrap_or(1.0);
-    let started = optional_number(fields, "launched_ns")?.unwrap_or(0);
-    Ok(Message::Entry(name, Entry { server, zone, kind, cell, state, weight, started }))
+    let started_at = optional_number(fields, "launched_ns")?.unwrap_or(0);
+    Ok(Message::Entry(name, ServerEntry { server, zone, kind, cell, state, weight, started_at }))
 }
 
 /// Parses one input line (without its line end).
@@ -217,8 +217,8 @@
         "arrival" => Message::Event(instance(fields)?, Event::Arrival(request(fields)?)),
         "report_back" => Message::Event(instance(fields)?, Event::Outcome(outcome(fields)?)),
         "tick_due" => Message::Event(instance(fields)?, Event::Timer(number(fields, "handle")?)),
-        "expired" => Message::Event(instance(fields)?, Event::Expired(number(fields, "corr")?)),
-        "first" => Message::Event(instance(fields)?, Event::First(number(fields, "corr")?)),
+        "expired" => Message::Event(instance(fields)?, Event::Abandoned(number(fields, "corr")?)),
+        "first" => Message::Event(instance(fields)?, Event::StreamStarted(number(fields, "corr")?)),
         "sampled" => Message::Event(instance(fields)?, probe_outcome(fields)?),
         "backends_changed" => list_update(fields)?,
         "entry" => list_entry(fields)?,
@@ -298,25 +298,25 @@
 
 fn set_class_field(class: &mut Class, field: &str, path: &str, value: &str) -> Result<(), String> {
     match field {
-        "promise_ns" => set(&mut class.aim, path, value)?,
+        "promise_ns" => set(&mut class.latency_target, path, value)?,
         "deadline_ns" => set(&mut class.deadline, path, value)?,
         "dedup_window_ns" => set(&mut class.dedup_window, path, value)?,
         "late_value" => set(&mut class.late_value, path, value)?,
-        "value" => set(&mut class.worth, path, value)?,
+        "value" => set(&mut class.value, path, value)?,
         "stream" => set(&mut class.stream, path, value)?,
         "effect" => {
-            class.effect = match value {
-                "safe" => Effect::Safe,
-                "keyed" => Effect::Keyed,
+            class.retry_safety = match value {
+                "safe" => RetrySafety::Safe,
+                "keyed" => RetrySafety::Keyed,
                 // An unknown effect is held to the strictest rule.
-                _ => Effect::Unsafe,
+                _ => RetrySafety::Unsafe,
             }
         }
         "group" => {
-            class.group = match value {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                _ => Group::Cell,
+            class.dedup_scope = match value {
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                _ => DedupScope::Cell,
             }
         }
         _ => {}
@@ -327,18 +327,18 @@
 fn set_field(settings: &mut Settings, path: &str, value: &str) -> Result<(), String> {
     match path {
         "zone" => set(&mut settings.zone, path, value)?,
-        "n_instances" => set(&mut settings.proxies, path, value)?,
-        "self_index" => set(&mut settings.me, path, value)?,
-        "discovery" => settings.must_ask = value == "subscribe",
-        "family_info.mode" => settings.aside = value == "aside",
-        "family_info.origin_fall_multiple" => set(&mut settings.origin_fall_multiple, path, value)?,
-        "family_info.origin_fall_ns" => settings.origin_fall = nanos_from_float(path, value)?,
-        "over_share_worth" => set(&mut settings.over_share_worth, path, value)?,
-        "worth_by" => settings.worth_by_work = value == "work",
+        "n_instances" => set(&mut settings.proxy_count, path, value)?,
+        "self_index" => set(&mut settings.proxy_index, path, value)?,
+        "discovery" => settings.poll_discovery = value == "subscribe",
+        "family_info.mode" => settings.cache_aside = value == "aside",
+        "family_info.origin_fall_multiple" => set(&mut settings.origin_overload_multiple, path, value)?,
+        "family_info.origin_fall_ns" => settings.origin_overload_duration = nanos_from_float(path, value)?,
+        "over_share_worth" => set(&mut settings.over_quota_value, path, value)?,
+        "worth_by" => settings.value_per_work = value == "work",
         "caps.attempts_cap" => set(&mut settings.max_attempts, path, value)?,
-        "caps.cancelling" => set(&mut settings.cancel, path, value)?,
-        "caps.probing" => set(&mut settings.probe, path, value)?,
-        "caps.second_copies" => set(&mut settings.second_copies, path, value)?,
+        "caps.cancelling" => set(&mut settings.allow_cancel, path, value)?,
+        "caps.probing" => set(&mut settings.allow_probe, path, value)?,
+        "caps.second_copies" => set(&mut settings.hedging, path, value)?,
         "caps.max_retry_after_ns" => set(&mut settings.max_retry_after, path, value)?,
         "caps.connect_timeout_ns" => set(&mut settings.connect_timeout, path, value)?,
         "deductions.waste" => set(&mut settings.waste_price, path, value)?,
@@ -346,28 +346,28 @@
         "deductions.connection" => set(&mut settings.connection_price, path, value)?,
         "deductions.handshake" => set(&mut settings.handshake_price, path, value)?,
         "deductions.probe" => set(&mut settings.probe_price, path, value)?,
-        "rules.cold_from" => set(&mut settings.cold_from, path, value)?,
-        "rules.cold_ns" => set(&mut settings.cold, path, value)?,
-        "rules.fall_multiple" => set(&mut settings.fall_multiple, path, value)?,
-        "rules.fall_ns" => set(&mut settings.fall, path, value)?,
+        "rules.cold_from" => set(&mut settings.slow_start_initial_fraction, path, value)?,
+        "rules.cold_ns" => set(&mut settings.slow_start_duration, path, value)?,
+        "rules.fall_multiple" => set(&mut settings.overload_multiple, path, value)?,
+        "rules.fall_ns" => set(&mut settings.overload_duration, path, value)?,
         "rules.drain_grace_ns" => set(&mut settings.drain_grace, path, value)?,
-        "rules.must_ask_in_ns" => set(&mut settings.must_ask_in, path, value)?,
+        "rules.must_ask_in_ns" => set(&mut settings.discovery_poll_interval, path, value)?,
         "report.columns" => {
             let columns = value.split(',').filter(|column| !column.is_empty());
-            settings.report = columns.map(report_column).collect();
+            settings.load_report_columns = columns.map(report_column).collect();
         }
         _ => {}
     }
     Ok(())
 }
 
-fn report_column(name: &str) -> Report {
+fn report_column(name: &str) -> LoadColumn {
     match name {
-        "depth" => Report::Queue,
-        "concurrent" => Report::Inflight,
-        "mean_ms" => Report::LatencyMs,
-        "load_share" => Report::Util,
-        _ => Report::Other,
+        "depth" => LoadColumn::Queue,
+        "concurrent" => LoadColumn::Inflight,
+        "mean_ms" => LoadColumn::LatencyMs,
+        "load_share" => LoadColumn::Util,
+        _ => LoadColumn::Other,
     }
 }
 
@@ -388,7 +388,7 @@
         Action::Refuse { id, retry_after } => writeln!(reply, "bounce {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(reply, "abort {instance} {id}"),
         Action::Timer { token, delay } => writeln!(reply, "arm {instance} {token} {delay}"),
-        Action::Close(server) => writeln!(reply, "close {instance} {}", name(server)),
+        Action::CloseIdle(server) => writeln!(reply, "close {instance} {}", name(server)),
         Action::Probe(server) => writeln!(reply, "touch {instance} {}", name(server)),
         Action::Subscribe => writeln!(reply, "stream_changes {instance} 1"),
     };
