--- a/crates/calicosaddle/tests/decisions.rs
+++ b/crates/calicosaddle/tests/decisions.rs
@@ -1057,7 +1057,7 @@
 }
 
 #[test]
-fn a_withdrawn_server_gets_no_new_requests_whatever_a_list_says_until_it_is_restored() {
+fn a_server_drained_by_an_operator_gets_no_new_requests_whatever_a_list_says_until_undrained() {
     // Each round requests new keys, since a key that was requested before may be pinned to another server.
     let mut keys = 0..;
     let mut servers_of_new_keys = |proxy: &mut TestProxy| -> HashSet<ServerId> {
@@ -1074,14 +1074,14 @@
         let servers = servers_of_new_keys(&mut proxy);
         assert!(!servers.contains(&listed) && !servers.contains(&unlisted), "{kind:?} list");
     }
-    // A server that is removed and listed again is still withdrawn.
+    // A server that is removed and listed again is still drained.
     proxy.update_list(ListKind::Full, entries(3..6));
     proxy.update_list(ListKind::Full, entries(0..10));
     assert!(!servers_of_new_keys(&mut proxy).contains(&listed));
     proxy.handle(Event::OperatorDrained(vec![unlisted]));
     let servers = servers_of_new_keys(&mut proxy);
     assert!(servers.contains(&listed) && !servers.contains(&unlisted));
-    // An attempt pending at the time of the withdrawal ends as usual; its retry goes to another server.
+    // An attempt pending at the time of the drain ends as usual; its retry goes to another server.
     let (key, id, actions) = (0..)
         .map(|key| (key, proxy.request(key)))
         .find_map(|(key, (id, actions))| {
