--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -1,34 +1,35 @@
-//! Who may have how many of the descriptors: clients and cache nodes draw on one number.
+//! How client connections and cache node connections share the process's file descriptors.
 //!
-//! A request needs a client's connection for as long as its client writes, waits and reads, and a node's only while
-//! that works. So clients may have up to two thirds; nodes have a third for sure, and up to half while clients leave
-//! it to them. Danger: a node's connection costs it a handshake, so idle ones are kept until clients want the place.
+//! A request holds its client's connection while the client writes, waits and reads, but a node's connection only
+//! while the node works on it. Clients may therefore have up to two thirds of the descriptors; nodes always have a
+//! third, and up to a half while clients leave it to them. Reconnecting to a node costs the node a handshake, so idle
+//! node connections are kept until clients need the descriptors.
 
-/// The descriptors that connections may have.
+/// The descriptors available for connections.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorBudget {
-    all: usize,
+    total: usize,
 }
 
 impl DescriptorBudget {
-    /// So many descriptors, of which some are kept back for all else.
+    /// The budget of a process that may open `sockets` descriptors and needs `reserved` of them for other purposes.
     pub fn new(sockets: usize, reserved: usize) -> Self {
-        DescriptorBudget { all: sockets.saturating_sub(reserved).max(3) }
+        DescriptorBudget { total: sockets.saturating_sub(reserved).max(3) }
     }
 
-    /// What nodes have for sure.
-    fn third(self) -> usize {
-        self.all / 3
+    /// The number of descriptors that nodes may always have.
+    fn guaranteed_for_nodes(self) -> usize {
+        self.total / 3
     }
 
-    /// How many connections clients may have while nodes have so many.
+    /// The maximum number of client connections while `nodes` node connections are open.
     pub fn for_clients(self, nodes: usize) -> usize {
-        self.all.saturating_sub(nodes.max(self.third())).max(1)
+        self.total.saturating_sub(nodes.max(self.guaranteed_for_nodes())).max(1)
     }
 
-    /// How many connections nodes may have while clients have so many.
+    /// The maximum number of node connections while `clients` client connections are open.
     pub fn for_nodes(self, clients: usize) -> usize {
-        self.all.saturating_sub(clients).clamp(self.third(), self.all / 2)
+        self.total.saturating_sub(clients).clamp(self.guaranteed_for_nodes(), self.total / 2)
     }
 }
 
@@ -37,18 +38,18 @@
     use super::*;
 
     #[test]
-    fn no_more_are_given_away_than_there_are_and_each_side_has_its_part() {
+    fn shares_never_exceed_the_total_and_each_side_gets_its_minimum() {
         for sockets in [0, 33, 48, 192, 384, 1_024, 100_000] {
-            let places = DescriptorBudget::new(sockets, 32);
-            let all = sockets.saturating_sub(32).max(3);
-            for clients in 0..=all.min(1_100) {
-                let nodes = places.for_nodes(clients);
-                assert!(nodes >= all / 3 && nodes <= all / 2, "{sockets}: {nodes} beside {clients}");
-                // Nodes that keep to it leave clients what they have, up to two thirds.
-                assert!(places.for_clients(nodes) + nodes <= all);
-                assert!(places.for_clients(nodes) >= clients.min(all - all / 3), "{sockets}: {clients}");
+            let budget = DescriptorBudget::new(sockets, 32);
+            let total = sockets.saturating_sub(32).max(3);
+            for clients in 0..=total.min(1_100) {
+                let nodes = budget.for_nodes(clients);
+                assert!(nodes >= total / 3 && nodes <= total / 2, "{sockets}: {nodes} beside {clients}");
+                // While nodes stay within their limit, clients keep what they have, up to two thirds.
+                assert!(budget.for_clients(nodes) + nodes <= total);
+                assert!(budget.for_clients(nodes) >= clients.min(total - total / 3), "{sockets}: {clients}");
             }
-            assert_eq!(places.for_clients(0), all - all / 3);
+            assert_eq!(budget.for_clients(0), total - total / 3);
         }
     }
 }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop's own part: what woke it, what time it is, and what falls due. It knows no requests.
+//! Polling of sockets and timers, and the proxy's clock. Nothing here knows about requests.
 
 use crate::timers::Timers;
 use calicosaddle::api::Nanos;
@@ -7,62 +7,62 @@
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A poll that took less found its events waiting: they came while the loop was at work.
-const AWAKE: Nanos = 1_000_000 / 5;
+/// A poll that returns within 200 µs found events already pending: they arrived during the previous iteration.
+const PENDING_EVENTS_THRESHOLD: Nanos = 1_000_000 / 5;
 
-/// What a socket is that woke the loop.
+/// What a registered event source is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The clients' listener.
+    /// The listener for clients.
     ClientListener,
-    /// SIGTERM.
+    /// Delivery of SIGTERM.
     Sigterm,
-    /// SIGHUP.
+    /// Delivery of SIGHUP.
     Sighup,
-    /// A call of discovery, by its number among those that may be out.
+    /// A discovery call, by its index among the concurrent ones.
     Discovery(usize),
-    /// The controllers' listener.
+    /// The listener of the control endpoint.
     ControlListener,
-    /// The operators' listener.
+    /// The listener of the admin endpoint.
     AdminListener,
     /// A client's connection.
     Client(usize),
     /// A connection to a cache node.
     Node(usize),
-    /// The second address that is tried for a connection to a cache node.
+    /// The second address that is tried in parallel for a connection to a cache node.
     NodeRace(usize),
-    /// A controller's connection.
+    /// A connection to the control endpoint.
     ControlConnection(usize),
-    /// An operator's call.
+    /// A connection to the admin endpoint.
     AdminConnection(usize),
-    /// A connection to a candidate, which gets copies alone.
+    /// A connection to a shadow candidate, which carries copied reads only.
     ShadowConnection(usize),
 }
 
 impl Source {
-    /// The kinds of which there are many leave this much room for their numbers' kind.
+    /// A token is `key * KINDS + kind`. Kind 0 holds all sources of which there are few.
     const KINDS: usize = 7;
 
-    /// The token that a socket of this kind is registered under.
+    /// The token that this source is registered under.
     pub fn token(self) -> Token {
-        let many = |kind: usize, key: usize| key * Source::KINDS + kind;
+        let encode = |kind: usize, key: usize| key * Source::KINDS + kind;
         Token(match self {
-            Source::ClientListener => many(0, 0),
-            Source::Sigterm => many(0, 1),
-            Source::Sighup => many(0, 2),
-            Source::ControlListener => many(0, 3),
-            Source::AdminListener => many(0, 4),
-            Source::Discovery(call) => many(0, 5 + call),
-            Source::Client(key) => many(1, key),
-            Source::Node(key) => many(2, key),
-            Source::ControlConnection(key) => many(3, key),
-            Source::NodeRace(key) => many(4, key),
-            Source::AdminConnection(key) => many(5, key),
-            Source::ShadowConnection(key) => many(6, key),
+            Source::ClientListener => encode(0, 0),
+            Source::Sigterm => encode(0, 1),
+            Source::Sighup => encode(0, 2),
+            Source::ControlListener => encode(0, 3),
+            Source::AdminListener => encode(0, 4),
+            Source::Discovery(call) => encode(0, 5 + call),
+            Source::Client(key) => encode(1, key),
+            Source::Node(key) => encode(2, key),
+            Source::ControlConnection(key) => encode(3, key),
+            Source::NodeRace(key) => encode(4, key),
+            Source::AdminConnection(key) => encode(5, key),
+            Source::ShadowConnection(key) => encode(6, key),
         })
     }
 
-    /// The kind that is registered under a token.
+    /// The source of an event.
     pub fn of(event: &Event) -> Source {
         Source::from(event.token())
     }
@@ -88,11 +88,11 @@
     }
 }
 
-/// The module's clock: Unix time at the start and monotonic time since, so that a cache node's start, told as
-/// Unix time, lies on it.
+/// The proxy's clock: Unix time at the start plus monotonic time since then. It is comparable with the start times
+/// of cache nodes, which discovery gives as Unix time, and never goes backwards.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Unix time at the start.
+    /// Unix time at the start of the process.
     pub unix_start: Nanos,
     started: Instant,
 }
@@ -103,62 +103,64 @@
         Clock { unix_start: unix.as_nanos() as Nanos, started: Instant::now() }
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Nanos {
         self.unix_start + self.started.elapsed().as_nanos() as Nanos
     }
 }
 
-/// Waits for sockets and timers, and keeps the time of the turn at hand.
+/// Waits for sockets and timers, and holds the time of the current iteration.
 #[derive(Debug)]
 pub struct EventLoop {
     poll: Poll,
     /// The clock.
     pub clock: Clock,
-    /// The time, as last looked at.
+    /// The time when the clock was last read.
     pub now: Nanos,
-    /// When what this turn reads may have come at the earliest.
-    pub since: Nanos,
-    /// What falls due when.
+    /// The earliest time at which the input read in this iteration may have arrived.
+    pub earliest_arrival: Nanos,
+    /// The pending timers.
     pub timers: Timers,
 }
 
 impl EventLoop {
-    /// A loop that has not waited yet.
+    /// An event loop without sources or timers.
     pub fn new() -> io::Result<Self> {
         let clock = Clock::new();
         let now = clock.now();
-        Ok(EventLoop { poll: Poll::new()?, clock, now, since: now, timers: Timers::default() })
+        let timers = Timers::default();
+        Ok(EventLoop { poll: Poll::new()?, clock, now, earliest_arrival: now, timers })
     }
 
-    /// Where sockets are registered.
+    /// The registry for event sources.
     pub fn registry(&self) -> &Registry {
         self.poll.registry()
     }
 
-    /// Where sockets are registered, and what falls due when.
-    pub fn parts(&mut self) -> (&Registry, &mut Timers) {
+    /// The registry together with the timers, for callers that need both at once.
+    pub fn registry_and_timers(&mut self) -> (&Registry, &mut Timers) {
         (self.poll.registry(), &mut self.timers)
     }
 
-    /// Looks at the clock.
-    pub fn tick(&mut self) {
+    /// Reads the clock.
+    pub fn update_now(&mut self) {
         self.now = self.clock.now();
     }
 
-    /// Waits for sockets, for the next timer, or until `work` is due; not at all where there is `more` to read.
-    /// False if a signal cut the wait short.
-    pub fn wait(&mut self, events: &mut Events, work: Option<Nanos>, more: bool) -> io::Result<bool> {
+    /// Waits for an event, for the next timer, or until `work_due`. Does not block if `has_more` input is waiting to
+    /// be read. Returns false if a signal interrupted the wait.
+    pub fn wait(&mut self, events: &mut Events, work_due: Option<Nanos>, has_more: bool) -> io::Result<bool> {
         let before = self.clock.now();
-        let next = self.timers.next().into_iter().chain(work).min();
-        let wait = next.map(|at| Duration::from_nanos(at.saturating_sub(before)));
-        match self.poll.poll(events, if more { Some(Duration::ZERO) } else { wait }) {
+        let next = self.timers.next_expiry().into_iter().chain(work_due).min();
+        let timeout = next.map(|at| Duration::from_nanos(at.saturating_sub(before)));
+        match self.poll.poll(events, if has_more { Some(Duration::ZERO) } else { timeout }) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(false),
             polled => polled?,
         }
-        let woken = self.now;
-        self.tick();
-        self.since = if self.now - before < AWAKE { woken } else { self.now };
+        let previous = self.now;
+        self.update_now();
+        let were_pending = self.now - before < PENDING_EVENTS_THRESHOLD;
+        self.earliest_arrival = if were_pending { previous } else { self.now };
         Ok(true)
     }
 }
@@ -169,21 +171,21 @@
     use crate::platform::discovery::CALLS;
 
     #[test]
-    fn every_source_comes_back_from_its_token() {
-        let ones = [
+    fn every_source_has_a_unique_token_that_decodes_to_it() {
+        let singletons = [
             Source::ClientListener,
             Source::Sigterm,
             Source::Sighup,
             Source::ControlListener,
             Source::AdminListener,
         ];
-        let many = (0..9).flat_map(|i| {
+        let keyed = (0..9).flat_map(|i| {
             let peers =
                 [Source::Client(i), Source::Node(i), Source::NodeRace(i), Source::ShadowConnection(i)];
             peers.into_iter().chain([Source::ControlConnection(i), Source::AdminConnection(i)])
         });
         let all: Vec<Source> =
-            ones.into_iter().chain((0..CALLS).map(Source::Discovery)).chain(many).collect();
+            singletons.into_iter().chain((0..CALLS).map(Source::Discovery)).chain(keyed).collect();
         for (i, source) in all.iter().enumerate() {
             assert_eq!(Source::from(source.token()), *source);
             assert!(all[..i].iter().all(|other| other.token() != source.token()), "{source:?}");
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -4,8 +4,8 @@
 use super::admin::Call;
 use super::control::{interval, needs_life};
 use crate::event_loop::Source;
+use crate::gates::Gates;
 use crate::metrics::Gauges;
-use crate::observers::Gates;
 use crate::platform::config::Config;
 use crate::shadow_traffic::ShadowTraffic;
 use crate::{Proxy, MS};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,13 +1,14 @@
-//! The real proxy round the decision module: one thread, one readiness loop.
+//! The cache proxy around the balancer: one thread with one event loop.
 //!
-//! Sockets and timers become the module's events, its actions become bytes. Nothing here chooses where a
-//! request goes, when, or whether it is tried again or refused; the proxy refuses by itself only what it has
-//! no room for and the module has never seen.
+//! Input from sockets and timers becomes events for the balancer, and the balancer's actions become bytes on sockets.
+//! The balancer alone decides where and when a request is sent, and whether it is retried or refused. The proxy refuses
+//! a request by itself only if it has no room for it, before the balancer has seen it.
 
 mod boxes;
 mod descriptors;
 mod event_loop;
 mod front;
+mod gates;
 mod lifecycle;
 mod metrics;
 mod observers;
@@ -29,77 +30,89 @@
 use front::admin::{self, Admin};
 use front::clients::Clients;
 use front::control::{Endpoint, Kept};
-use mio::event::Event as Woken;
+use gates::Gates;
+use mio::event::Event as SocketEvent;
 use mio::Events;
-use observers::{Gates, Observers, Told};
+use observers::{Notification, Observers};
 use platform::discovery::{self, Answer, Discovery};
 use platform::inherited;
 use platform::signals::Signals;
-use request::Table;
+use request::RequestTable;
 use shadow_traffic::ShadowTraffic;
 use std::collections::VecDeque;
 use std::io;
-use timers::Due;
+use streaming::StreamedValues;
+use timers::TimerEvent;
 
 const MS: Nanos = 1_000_000;
-/// How often all connections are looked over for what waits too long.
-const SWEEP: Nanos = 100 * MS;
-/// After SIGTERM new connections come for 0.4 s at the most: so long the proxy serves on.
-const WINDOW: Nanos = 450 * MS;
-/// SIGKILL comes the longest deadline and 0.7 s after SIGTERM: what is under way then ends with the process.
-const LAST_CALL: Nanos = 600 * MS;
-/// After descriptors ran out, the listener rests for so long.
+/// How often all connections are checked for those that have waited too long.
+const SWEEP_INTERVAL: Nanos = 100 * MS;
+/// How long the proxy accepts clients after SIGTERM: new connections may arrive for up to 400 ms.
+const DRAIN_WINDOW: Nanos = 450 * MS;
+/// The process exits the longest request deadline plus this long after SIGTERM, even with requests open: SIGKILL
+/// follows 100 ms later.
+const EXIT_GRACE: Nanos = 600 * MS;
+/// How long accepting is suspended after descriptors ran out.
 const ACCEPT_PAUSE: Nanos = 20 * MS;
-/// Descriptors for all but connections: standard streams, poll, listener, signal, discovery, some to spare.
-const RESERVED: usize = 32;
-/// A quarter of the memory may hold long values of commands, and as much unread answers.
-const MEMORY_PART: u64 = 4;
-/// Bytes read at once.
-const BUFFER: usize = 64 << 10;
-
-/// One proxy.
+/// Descriptors for everything but connections: standard streams, poll, listener, signals, discovery, and some spare.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Long values in commands may take this fraction (one quarter) of the memory, and unread answers as much.
+const MEMORY_DIVISOR: u64 = 4;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+/// The maximum number of socket events handled in an iteration.
+const EVENTS_CAPACITY: usize = 1024;
+
+/// A proxy instance.
 pub struct Proxy {
     config: Config,
     event_loop: EventLoop,
     signals: Signals,
     balancer: Balancer,
     clients: Clients,
-    requests: Table,
-    /// Long values that are being passed on.
-    streamed_values: streaming::StreamedValues,
+    requests: RequestTable,
+    /// Long values that are being streamed to clients.
+    streamed_values: StreamedValues,
     descriptor_budget: DescriptorBudget,
     gates: Gates,
     observers: Observers,
     boxes: Boxes,
     discovery: Discovery,
+    /// Events that the balancer has not seen yet.
     pending_events: VecDeque<Event>,
+    /// Reused between calls of the balancer.
     actions: Vec<Action>,
+    /// Reused for all reads.
     buffer: Vec<u8>,
+    /// When SIGTERM arrived.
     terminating_since: Option<Nanos>,
-    /// A controller drained this instance then; nothing while it serves.
+    /// When a controller drained this instance; `None` while it serves.
     draining_since: Option<Nanos>,
+    /// No client connections are accepted any more.
     closed_to_clients: bool,
     admin: Option<Admin>,
     control: Option<Endpoint>,
-    /// Reads that are copied to boxes which are not in service yet.
+    /// Copies of reads to boxes that are not in service yet.
     shadow_traffic: Option<ShadowTraffic>,
+    /// State that survives a restart.
     persisted: Kept,
-    /// Counts the changes that a watching controller is told of.
+    /// Counts the changes that watching controllers are notified of.
     change_count: u64,
-    /// It has known a box that takes work.
+    /// A box that takes work has been known since the start.
     has_been_ready: bool,
-    /// It was stopped when the connections were last looked over.
+    /// Whether the instance was in phase `Stopped` at the last sweep.
     was_stopped: bool,
+    /// The last discovery call failed.
     discovery_failed: bool,
-    /// When the connections are to be looked over next.
+    /// When the next sweep is due.
     sweep_due: Nanos,
 }
 
 impl Proxy {
-    /// Listens, and tells the module what the configuration knows.
+    /// Opens the listeners, and gives the balancer the list of boxes from the configuration.
     ///
     /// # Errors
-    /// The address can't be listened at, or something that the operator's file names can't be had.
+    /// An address cannot be listened on, or a file or value named in the operator's file cannot be used.
     pub fn start(
         mut config: Config,
         operator: &operator::Operator,
@@ -108,11 +121,9 @@
         let event_loop = EventLoop::new()?;
         let (registry, now) = (event_loop.registry(), event_loop.now);
         let signals = Signals::listen(registry, Source::Sigterm.token(), Source::Sighup.token())?;
-        let controllers = operator.control.as_ref().map_or(0, |c| c.max_connections + 1);
-        let copies = operator.shadow.as_ref().map_or(0, |s| s.connections);
-        let reserved = RESERVED + controllers + copies + config.admin.map_or(0, |_| admin::PLACES + 1);
-        let descriptor_budget = DescriptorBudget::new(config.sockets, reserved);
-        let memory = ((config.memory_mb << 20) / MEMORY_PART) as usize;
+        let descriptor_budget =
+            DescriptorBudget::new(config.sockets, reserved_descriptors(&config, operator));
+        let memory = ((config.memory_mb << 20) / MEMORY_DIVISOR) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
         let hello = boxes::hello(&operator.boxes)?;
         boxes::pipes(&operator.pipeline, &config)?;
@@ -130,23 +141,23 @@
         if !drained {
             clients.listen(registry, Source::ClientListener.token())?;
         }
-        let admin =
-            config.admin.map(|a| Admin::open(a, registry, Source::AdminListener.token())).transpose()?;
+        let admin_token = Source::AdminListener.token();
+        let admin = config.admin.map(|a| Admin::open(a, registry, admin_token)).transpose()?;
+        let control_token = Source::ControlListener.token();
         let control = operator.control.as_ref();
-        let control =
-            control.map(|c| Endpoint::open(c, registry, Source::ControlListener.token())).transpose()?;
-        let shadow_traffic = operator.shadow.as_ref().zip(shadow);
-        let shadow_traffic = shadow_traffic
-            .map(|(told, settings)| ShadowTraffic::new(told, settings, &config, persisted.state.shadow, now));
+        let control = control.map(|c| Endpoint::open(c, registry, control_token)).transpose()?;
+        let shadow_traffic = operator.shadow.as_ref().zip(shadow).map(|(operator, settings)| {
+            ShadowTraffic::new(operator, settings, &config, persisted.state.shadow, now)
+        });
         let known = config.known.take();
         let version = known.as_ref().map(|k| k.version);
-        let calls = std::array::from_fn(|call| Source::Discovery(call).token());
+        let discovery_tokens = std::array::from_fn(|call| Source::Discovery(call).token());
         let mut proxy = Proxy {
             signals,
             balancer: Balancer::new(config.settings.clone(), config.seed),
             clients,
-            requests: Table::default(),
-            streamed_values: streaming::StreamedValues::default(),
+            requests: RequestTable::default(),
+            streamed_values: StreamedValues::default(),
             descriptor_budget,
             gates: Gates::new(config.max_open),
             observers: Observers::default(),
@@ -157,10 +168,10 @@
                 operator,
                 hello,
             ),
-            discovery: Discovery::new(&config, version, now, calls),
+            discovery: Discovery::new(&config, version, now, discovery_tokens),
             pending_events: VecDeque::new(),
             actions: Vec::new(),
-            buffer: vec![0; BUFFER],
+            buffer: vec![0; READ_BUFFER_BYTES],
             terminating_since: None,
             draining_since: drained.then_some(now),
             closed_to_clients: drained,
@@ -177,18 +188,18 @@
             config,
         };
         proxy.withdraw();
-        let entries = known.map(|k| proxy.take_list(k)).unwrap_or_default();
+        let entries = known.map(|k| proxy.apply_list(k)).unwrap_or_default();
         proxy.pending_events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
         proxy.decide();
-        proxy.event_loop.timers.set(now + SWEEP, Due::Sweep);
-        proxy.sweep_due = now + SWEEP;
+        proxy.event_loop.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        proxy.sweep_due = now + SWEEP_INTERVAL;
         Ok(proxy)
     }
 
-    /// Looks at what both files say together, as a start would.
+    /// Validates the configuration and the operator's file together, without starting.
     ///
     /// # Errors
-    /// The key of the operator's file that can't hold with this configuration, and why.
+    /// The keys of the operator's file that are not valid with this configuration, and why.
     pub fn check(config: &Config, operator: &operator::Operator) -> Result<(), String> {
         front::users(&operator.clients, &config.tenants)?;
         boxes::hello(&operator.boxes)?;
@@ -196,62 +207,92 @@
         boxes::pipes(&operator.pipeline, config).map(|_| ())
     }
 
-    /// Has what cache nodes push told to `subscriber` as well.
+    /// Adds a receiver of the messages that cache nodes push.
     pub fn subscribe(&mut self, subscriber: Box<dyn Subscriber>) {
         self.observers.subscribers.push(subscriber);
     }
 
-    /// Serves until SIGTERM and what follows from it.
+    /// Serves until the shutdown after SIGTERM is complete.
+    ///
+    /// # Errors
+    /// Polling failed.
     pub fn run(mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(1024);
-        while !self.done() {
-            let calls = self.admin.as_ref().is_some_and(Admin::has_more);
-            let more = self.clients.has_more() || self.boxes.has_more() || calls;
-            let work = self.control.as_ref().and_then(Endpoint::work).into_iter().chain(self.boxes.due());
-            let work = work.chain([self.discovery.due()]).min();
-            if self.event_loop.wait(&mut events, work, more)? {
+        let mut events = Events::with_capacity(EVENTS_CAPACITY);
+        while !self.is_finished() {
+            let has_calls = self.admin.as_ref().is_some_and(Admin::has_more);
+            let has_more = self.clients.has_more() || self.boxes.has_more() || has_calls;
+            let control_due = self.control.as_ref().and_then(Endpoint::work);
+            let work_due = control_due.into_iter().chain(self.boxes.due());
+            let work_due = work_due.chain([self.discovery.due()]).min();
+            if self.event_loop.wait(&mut events, work_due, has_more)? {
                 self.run_iteration(&events);
             }
         }
         Ok(())
     }
 
-    /// One turn of the loop. Cache nodes come first: a connection that has closed is not written to again.
-    /// Danger: a turn may be long where a core is shared, and waits would be measured short; so the clock is
-    /// read again for each socket.
+    // ---- the event loop ----
+
+    /// Runs one iteration of the event loop. Cache nodes come first, so that nothing more is written to a connection
+    /// that has closed.
     fn run_iteration(&mut self, events: &Events) {
-        let closed = |event: &Woken| event.is_read_closed() || event.is_error();
+        self.read_nodes(events);
+        self.run_timers();
+        let result = self.discovery.run(self.event_loop.registry(), self.event_loop.now);
+        self.handle_discovery(result);
+        self.write_to_nodes();
+        self.handle_listeners(events);
+        self.read_clients(events);
+        self.write_to_nodes();
+        if self.accept_clients().is_err() {
+            // Without a pause the loop would spin on a listener that it cannot accept from.
+            let resume_at = self.event_loop.now + ACCEPT_PAUSE;
+            self.event_loop.timers.set(resume_at, TimerEvent::ResumeAccept);
+        }
+        self.serve_operators(events);
+        self.clients.admit(&self.config, self.event_loop.now);
+        self.process_pending();
+        self.write_to_nodes();
+        self.clients.flush_all(self.event_loop.now);
+        self.process_pending();
+        self.write_to_nodes();
+        self.run_shadow_traffic(events);
+    }
+
+    /// Reads from cache nodes. The clock is read again for each socket: an iteration may take long where a core is
+    /// shared, and waiting times would be measured too short.
+    fn read_nodes(&mut self, events: &Events) {
         for key in self.boxes.take_again() {
             self.boxes.ready(key, true, &mut self.buffer, self.event_loop.now);
             self.process_pending();
         }
         for event in events {
-            let (key, rival) = match Source::of(event) {
+            let (key, is_race) = match Source::of(event) {
                 Source::Node(key) => (key, false),
                 Source::NodeRace(key) => (key, true),
                 _ => continue,
             };
-            self.event_loop.tick();
-            if !rival || self.boxes.rival_ready(key, self.event_loop.now) {
-                self.boxes.ready(key, closed(event), &mut self.buffer, self.event_loop.now);
+            self.event_loop.update_now();
+            if !is_race || self.boxes.rival_ready(key, self.event_loop.now) {
+                self.boxes.ready(key, is_closed(event), &mut self.buffer, self.event_loop.now);
             }
             self.process_pending();
         }
-        self.run_timers();
-        let began = self.discovery.run(self.event_loop.registry(), self.event_loop.now);
-        self.discovered(began);
-        self.write();
+    }
+
+    /// Handles the listeners, signals and discovery calls that are ready.
+    fn handle_listeners(&mut self, events: &Events) {
         for event in events {
             match Source::of(event) {
                 Source::ClientListener => self.clients.knocked(),
-                Source::Sigterm => self.signalled(),
+                Source::Sigterm => self.handle_sigterm(),
                 Source::Sighup => self.reload(),
                 Source::AdminListener => self.admin.iter_mut().for_each(Admin::knocked),
                 Source::ControlListener => self.control.iter_mut().for_each(Endpoint::knocked),
                 Source::Discovery(_) => {
-                    let answer =
-                        self.discovery.ready(self.event_loop.registry(), event.token(), self.event_loop.now);
-                    self.discovered(answer);
+                    let (registry, now) = (self.event_loop.registry(), self.event_loop.now);
+                    let answer = self.discovery.ready(registry, event.token(), now);
+                    self.handle_discovery(answer);
                 }
                 Source::Client(_)
                 | Source::Node(_)
@@ -262,24 +303,28 @@
             }
             self.process_pending();
         }
+    }
+
+    /// Reads from clients, and writes to those that can take more of their answers.
+    fn read_clients(&mut self, events: &Events) {
         for key in self.clients.take_again() {
             self.clients.read(key, true, &self.config, &mut self.buffer, self.event_loop.now);
             self.process_pending();
         }
         for event in events {
             let Source::Client(key) = Source::of(event) else { continue };
-            self.event_loop.tick();
+            self.event_loop.update_now();
             if event.is_writable() {
                 self.clients.flush(key, self.event_loop.now);
             }
-            self.clients.read(key, closed(event), &self.config, &mut self.buffer, self.event_loop.now);
+            let now = self.event_loop.now;
+            self.clients.read(key, is_closed(event), &self.config, &mut self.buffer, now);
             self.process_pending();
         }
-        self.write();
-        if self.accept().is_err() {
-            // Danger: without a pause the loop would spin on a listener that it can't accept from.
-            self.event_loop.timers.set(self.event_loop.now + ACCEPT_PAUSE, Due::Accept);
-        }
+    }
+
+    /// Serves the control and admin endpoints.
+    fn serve_operators(&mut self, events: &Events) {
         for event in events {
             let Source::ControlConnection(key) = Source::of(event) else { continue };
             self.control.iter_mut().for_each(|c| c.woke(key, self.event_loop.now));
@@ -289,42 +334,34 @@
             self.called(key);
         }
         if let Some(admin) = &mut self.admin {
-            admin.accept(self.event_loop.registry(), self.event_loop.now, |key| {
-                Source::AdminConnection(key).token()
-            });
+            let token = |key| Source::AdminConnection(key).token();
+            admin.accept(self.event_loop.registry(), self.event_loop.now, token);
         }
         self.controlled();
-        self.clients.admit(&self.config, self.event_loop.now);
-        self.process_pending();
-        self.write();
-        self.clients.flush_all(self.event_loop.now);
-        self.process_pending();
-        self.write();
-        self.run_shadow_traffic(events);
     }
 
-    /// Writes to cache nodes what became ready since: all that one connection has in one go.
-    fn write(&mut self) {
+    /// Writes to cache nodes what has become ready. Everything for one connection goes out together.
+    fn write_to_nodes(&mut self) {
         while self.boxes.write(self.event_loop.now) {
             self.process_pending();
         }
     }
 
-    /// Accepts clients, each with what places there are by then.
-    fn accept(&mut self) -> io::Result<()> {
+    /// Accepts clients. The limit on connections is computed again for each.
+    fn accept_clients(&mut self) -> io::Result<()> {
         let (descriptor_budget, boxes) = (self.descriptor_budget, &mut self.boxes);
-        let client = |key| Source::Client(key).token();
+        let token = |key| Source::Client(key).token();
         let limit = |clients| boxes.make_room(descriptor_budget, clients);
-        self.clients.accept(self.event_loop.registry(), self.event_loop.now, client, limit)
+        self.clients.accept(self.event_loop.registry(), self.event_loop.now, token, limit)
     }
 
-    /// Works off all that sockets told and that follows from it.
+    /// Processes what nodes and clients have sent and all that follows from it, until nothing is pending.
     fn process_pending(&mut self) {
         loop {
-            if let Some(news) = self.boxes.news() {
-                self.attempt_news(news);
-            } else if let Some(news) = self.clients.news() {
-                self.client_news(news);
+            if let Some(event) = self.boxes.news() {
+                self.handle_attempt_event(event);
+            } else if let Some(event) = self.clients.news() {
+                self.handle_client_event(event);
             } else if self.pending_events.is_empty() {
                 return;
             }
@@ -334,39 +371,38 @@
 
     // ---- discovery ----
 
-    fn discovered(&mut self, answer: Option<Answer>) {
+    fn handle_discovery(&mut self, answer: Option<Answer>) {
         match answer {
             None => {}
-            Some(Answer::News(news)) => {
+            Some(Answer::News(update)) => {
                 self.discovery_failed = false;
-                let kind = if news.whole { ListKind::Full } else { ListKind::Delta };
-                let entries = self.take_list(news);
+                let kind = if update.whole { ListKind::Full } else { ListKind::Delta };
+                let entries = self.apply_list(update);
                 self.pending_events.push_back(Event::ServerList { kind, entries });
             }
             Some(Answer::Failed(e)) => {
-                let row = std::mem::replace(&mut self.discovery_failed, true);
-                // Only the first failure of a row is logged.
-                (!row).then(|| eprintln!("discovery: {e}"));
+                // Of consecutive failures only the first is logged.
+                let failed_before = std::mem::replace(&mut self.discovery_failed, true);
+                (!failed_before).then(|| eprintln!("discovery: {e}"));
             }
         }
     }
 
-    fn take_list(&mut self, news: discovery::News) -> Vec<ServerEntry> {
-        self.boxes.list(&news, self.event_loop.now);
+    /// Applies a list update to the boxes. Returns its entries for the balancer.
+    fn apply_list(&mut self, update: discovery::News) -> Vec<ServerEntry> {
+        self.boxes.list(&update, self.event_loop.now);
         self.update_candidates();
-        self.observers.tell(Told::List);
+        self.observers.notify(Notification::List);
         self.change_count += 1;
-        news.hosts.into_iter().map(|h| h.entry).collect()
+        update.hosts.into_iter().map(|h| h.entry).collect()
     }
 
-    /// Takes over the configuration file anew: the address of discovery. All else in it holds from the next
-    /// start on. Guards against any file that can't be used: the old configuration stays in force then.
-    ///
-    /// Danger: versions of one discovery mean nothing to another, so the new one is asked for its whole list.
+    /// Reads the configuration file again and applies the address of discovery; all other settings take effect at the
+    /// next start. If the file is not valid, the current configuration stays in force.
     fn reload(&mut self) {
         self.signals.hung_up();
         match Config::from_env() {
-            Err(e) => eprintln!("reload: {e}; the configuration stays as it was"),
+            Err(e) => eprintln!("reload: {e}; keeping the current configuration"),
             Ok(new) if new.discovery == self.config.discovery => {
                 eprintln!("reload: discovery stays at {}", new.discovery);
             }
@@ -378,74 +414,94 @@
         }
     }
 
+    /// Moves discovery to the configured address. The new discovery service is asked for its complete list, because
+    /// versions of one service mean nothing to another.
     fn discovery_address_changed(&mut self) {
         self.discovery.moved(self.config.discovery, self.event_loop.now);
         self.discovery_failed = false;
     }
 
-    // ---- time ----
+    // ---- timers ----
 
     fn run_timers(&mut self) {
-        while let Some(due) = self.event_loop.timers.pop(self.event_loop.now) {
-            match due {
-                Due::Module(token) => self.pending_events.push_back(Event::Timer(token)),
-                Due::Deadline(id) => self.deadline(id),
-                Due::Attempt(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
-                Due::Connect(key, serial) => self.boxes.connect_timeout(key, serial, self.event_loop.now),
-                Due::Stagger(key, serial) => self.boxes.stagger(key, serial, self.event_loop.now),
-                Due::Accept => self.clients.knocked(),
-                Due::Copy(number) => {
-                    self.shadow_traffic.iter_mut().for_each(|c| c.overdue(number, self.event_loop.now))
-                }
-                Due::Sweep => {
-                    let late = self.event_loop.now.saturating_sub(self.sweep_due);
-                    self.sweep_due = self.event_loop.now + SWEEP;
-                    self.event_loop.timers.set(self.event_loop.now + SWEEP, Due::Sweep);
-                    self.clients.sweep(self.event_loop.now);
-                    self.boxes.sweep(self.event_loop.now);
-                    if self.clients.count() < self.descriptor_budget.for_clients(self.boxes.descriptors()) {
-                        // What clients leave, nodes may have again.
-                        self.boxes.make_room(self.descriptor_budget, self.clients.count());
-                    }
-                    let answer = self.discovery.sweep(self.event_loop.registry(), self.event_loop.now);
-                    self.discovered(answer);
-                    self.stop();
-                    self.admin.iter_mut().for_each(|a| a.sweep(self.event_loop.now));
-                    self.sweep_control();
-                    self.sweep_shadow_traffic(late);
+        while let Some(event) = self.event_loop.timers.pop_expired(self.event_loop.now) {
+            let now = self.event_loop.now;
+            match event {
+                TimerEvent::Balancer(token) => self.pending_events.push_back(Event::Timer(token)),
+                TimerEvent::RequestDeadline(id) => self.request_deadline(id),
+                TimerEvent::AttemptTimeout(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
+                TimerEvent::ConnectTimeout(key, serial) => self.boxes.connect_timeout(key, serial, now),
+                TimerEvent::ConnectionAttemptDelay(key, serial) => self.boxes.stagger(key, serial, now),
+                TimerEvent::ResumeAccept => self.clients.knocked(),
+                TimerEvent::ShadowTimeout(number) => {
+                    self.shadow_traffic.iter_mut().for_each(|s| s.copy_timeout(number, now));
                 }
+                TimerEvent::Sweep => self.sweep(),
             }
             self.process_pending();
         }
     }
 
-    // ---- the end ----
+    /// Checks all connections for those that have waited too long, and does other periodic work.
+    fn sweep(&mut self) {
+        let now = self.event_loop.now;
+        let delay = now.saturating_sub(self.sweep_due);
+        self.sweep_due = now + SWEEP_INTERVAL;
+        self.event_loop.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        self.clients.sweep(now);
+        self.boxes.sweep(now);
+        if self.clients.count() < self.descriptor_budget.for_clients(self.boxes.descriptors()) {
+            // Descriptors that clients leave unused become available to nodes again.
+            self.boxes.make_room(self.descriptor_budget, self.clients.count());
+        }
+        let answer = self.discovery.sweep(self.event_loop.registry(), now);
+        self.handle_discovery(answer);
+        self.close_after_drain_window();
+        self.admin.iter_mut().for_each(|a| a.sweep(now));
+        self.sweep_control();
+        self.sweep_shadow_traffic(delay);
+    }
+
+    // ---- shutdown ----
 
-    fn signalled(&mut self) {
+    fn handle_sigterm(&mut self) {
         self.signals.terminated();
-        // What is copied ends with the process, at once.
+        // Copying of reads stops at once.
         self.shadow_traffic = None;
         self.terminating_since.get_or_insert(self.event_loop.now);
         self.change_count += 1;
     }
 
-    /// Closes the proxy to clients once the window after SIGTERM or a controller's drain is over.
-    fn stop(&mut self) {
+    /// Closes the proxy to clients at the end of the window after SIGTERM or a controller's drain.
+    fn close_after_drain_window(&mut self) {
         let since = self.draining_since.into_iter().chain(self.terminating_since).min();
-        if self.closed_to_clients || since.is_none_or(|at| self.event_loop.now < at + WINDOW) {
+        if self.closed_to_clients || since.is_none_or(|at| self.event_loop.now < at + DRAIN_WINDOW) {
             return;
         }
         self.closed_to_clients = true;
-        // Danger: what the kernel has accepted would be reset with the listener.
+        // Connections that the kernel has already accepted would be reset when the listener is closed.
         self.clients.knocked();
-        let _ = self.accept();
+        let _ = self.accept_clients();
         self.clients.stop(&self.config, &mut self.buffer, self.event_loop.now);
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.terminating_since.is_some_and(|at| {
-            (self.closed_to_clients && self.clients.is_empty())
-                || self.event_loop.now >= at + self.config.longest + LAST_CALL
+            let all_answered = self.closed_to_clients && self.clients.is_empty();
+            all_answered || self.event_loop.now >= at + self.config.longest + EXIT_GRACE
         })
     }
 }
+
+/// True if a socket's peer has closed the connection or it has failed.
+fn is_closed(event: &SocketEvent) -> bool {
+    event.is_read_closed() || event.is_error()
+}
+
+/// Descriptors that are not available to client and node connections.
+fn reserved_descriptors(config: &Config, operator: &operator::Operator) -> usize {
+    let control = operator.control.as_ref().map_or(0, |c| c.max_connections + 1);
+    let shadow = operator.shadow.as_ref().map_or(0, |s| s.connections);
+    let admin = config.admin.map_or(0, |_| admin::PLACES + 1);
+    RESERVED_DESCRIPTORS + control + shadow + admin
+}
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,60 +1,48 @@
-//! The life of a request, in the order in which it is lived: it arrives, passes the gates, is decided on, sent,
-//! has an outcome, is decided on again, answered, observed, and retired.
+//! The life of a request, in order: it arrives, passes the gates, is decided on by the balancer, sent to cache nodes,
+//! has outcomes, is answered, and retired.
 
 use crate::boxes::{self, GivenUp, Job};
 use crate::front::clients;
-use crate::observers::{Final, Told, Verdict};
+use crate::gates::Verdict;
+use crate::observers::{FinalResult, Notification};
 use crate::request::{Answer, Query, ReplySlot};
-use crate::timers::Due;
+use crate::timers::TimerEvent;
 use crate::{Proxy, MS};
 use calicosaddle::api::*;
 use std::rc::Rc;
 
 impl Proxy {
-    // ---- arrival ----
+    // ---- arrival and gates ----
 
-    pub(crate) fn client_news(&mut self, news: clients::News) {
-        match news {
-            clients::News::Query(id, place, query) => self.arrived(id, place, query),
+    pub(crate) fn handle_client_event(&mut self, event: clients::News) {
+        match event {
+            clients::News::Query(id, slot, query) => self.arrive(id, slot, query),
             clients::News::TurnedAway(class) => {
-                self.observers.tell(Told::Arrived);
-                self.observers.tell(Told::Answered(Final::Refused, class));
-            }
-            clients::News::Left(id) => {
-                // Danger: a client that only ended its sending waits for its answer, and one that left wants
-                // nothing more to be done. An attempt that is out is let finish, no other follows it.
-                if self.requests.leave(id) {
-                    self.pending_events.push_back(Event::Abandoned(id));
-                }
-            }
-            clients::News::Wants(id) => self.wanted(id),
-            clients::News::Gone(id) => {
-                self.no_longer_wanted(id);
-                if self.requests.answer(id).is_none() {
-                    return;
-                }
-                self.observers.tell(Told::Abandoned);
-                self.pending_events.push_back(Event::Abandoned(id));
-                self.end_attempts(id, Status::Cancelled);
-                self.requests.retire(id);
+                self.observers.notify(Notification::Arrived);
+                self.observers.notify(Notification::Answered(FinalResult::Refused, class));
             }
+            clients::News::Left(id) => self.client_left(id),
+            clients::News::Wants(id) => self.resume_stream(id),
+            clients::News::Gone(id) => self.client_gone(id),
         }
     }
 
-    fn arrived(&mut self, id: RequestId, place: ReplySlot, query: Rc<Query>) {
-        self.observers.tell(Told::Arrived);
+    /// Leads a request through the gates to the balancer.
+    fn arrive(&mut self, id: RequestId, slot: ReplySlot, query: Rc<Query>) {
+        self.observers.notify(Notification::Arrived);
         let class = query.class;
         if query.write {
-            self.shadow_traffic.iter_mut().for_each(|c| c.wrote(query.key));
+            self.shadow_traffic.iter_mut().for_each(|s| s.note_write(query.key));
         }
-        if self.gates.judge(&query, self.requests.len()) == Verdict::Refuse {
-            self.give(place, class, Answer::Busy(0), Final::Refused);
+        if self.gates.check(&query, self.requests.len()) == Verdict::Refuse {
+            self.write_answer(slot, class, Answer::Busy(0), FinalResult::Refused);
             return;
         }
-        match self.requests.arrive(id, place, query, self.event_loop.since, self.event_loop.now) {
-            None => self.give(place, class, Answer::IdInUse, Final::Failed),
-            Some((request, until)) => {
-                self.event_loop.timers.set(until, Due::Deadline(id));
+        let (arrived, now) = (self.event_loop.earliest_arrival, self.event_loop.now);
+        match self.requests.arrive(id, slot, query, arrived, now) {
+            None => self.write_answer(slot, class, Answer::IdInUse, FinalResult::Failed),
+            Some((request, deadline)) => {
+                self.event_loop.timers.set(deadline, TimerEvent::RequestDeadline(id));
                 self.pending_events.push_back(Event::Arrival(request));
             }
         }
@@ -62,32 +50,32 @@
 
     // ---- decisions ----
 
-    /// Hands the module what happened, and does what it says.
+    /// Passes the pending events to the balancer and carries out its actions.
     pub(crate) fn decide(&mut self) {
         while let Some(mut event) = self.pending_events.pop_front() {
-            if let Event::Outcome(o) = &mut event {
-                o.request_complete = !self.requests.waits(o.id);
-                self.requests.retire(o.id);
+            if let Event::Outcome(outcome) = &mut event {
+                outcome.request_complete = !self.requests.is_unanswered(outcome.id);
+                self.requests.retire(outcome.id);
             }
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.handle(self.event_loop.now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.act(action));
+            actions.drain(..).for_each(|action| self.execute(action));
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send(id, server, timeout),
             Action::Cancel { id, attempt } => self.end_attempt(id, attempt, Status::Cancelled),
             Action::Refuse { id, retry_after } => {
-                self.answer(id, Answer::Busy(retry_after.div_ceil(MS)), Final::Refused);
+                self.answer(id, Answer::Busy(retry_after.div_ceil(MS)), FinalResult::Refused);
             }
-            Action::Fail { id } => self.answer(id, Answer::Failed, Final::Failed),
+            Action::Fail { id } => self.answer(id, Answer::Failed, FinalResult::Failed),
             Action::Timer { token, delay } => {
-                self.event_loop.timers.set(self.event_loop.now + delay, Due::Module(token));
+                self.event_loop.timers.set(self.event_loop.now + delay, TimerEvent::Balancer(token));
             }
-            // This module asks for no probes; the design has no use for them.
+            // This proxy sends no probes, and its balancer asks for none.
             Action::Probe(server) => self.pending_events.push_back(Event::Probed {
                 server,
                 status: Status::NotSent,
@@ -95,116 +83,118 @@
                 load_report: Vec::new(),
             }),
             Action::CloseIdle(server) => self.boxes.close_idle(server),
-            // That is for hosts whose subscription goes on by itself; here each call is planned.
+            // For hosts that hold a subscription to discovery; this proxy schedules its discovery calls itself.
             Action::Subscribe => {}
         }
     }
 
     // ---- attempts ----
 
+    /// Starts an attempt. A `timeout` of 0 means until the request's deadline.
     fn send(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
         let now = self.event_loop.now;
-        let most = self.config.settings.max_attempts.max(1);
-        let Some(begun) = self.requests.begin(id, server, most, now) else { return };
-        self.observers.tell(Told::Attempt);
-        let attempt = begun.number;
-        if begun.over {
+        let max_attempts = self.config.settings.max_attempts.max(1);
+        let Some(started) = self.requests.start_attempt(id, server, max_attempts, now) else { return };
+        self.observers.notify(Notification::Attempt);
+        let attempt = started.number;
+        if started.is_moot {
             self.end_attempt(id, attempt, Status::NotSent);
             return;
         }
-        let mut until = begun.until;
+        let mut until = started.deadline;
         if timeout > 0 && now + timeout < until {
             until = now + timeout;
-            self.event_loop.timers.set(until, Due::Attempt(id, attempt));
+            self.event_loop.timers.set(until, TimerEvent::AttemptTimeout(id, attempt));
         }
-        let promised =
-            self.config.settings.classes.get(begun.query.class as usize).map_or(0, |c| c.latency_target);
-        let aim = begun.until.saturating_sub(begun.query.wait) + promised;
-        let aim = if promised == 0 { until } else { aim.min(until) };
-        let job = Job { id, attempt, query: begun.query, aim, until };
-        if let Some((key, new)) = self.boxes.send(server, job, now) {
-            self.carried(id, attempt, key, new);
+        let class = self.config.settings.classes.get(started.query.class as usize);
+        let latency_target = class.map_or(0, |c| c.latency_target);
+        let target = started.deadline.saturating_sub(started.query.timeout) + latency_target;
+        let aim = if latency_target == 0 { until } else { target.min(until) };
+        let job = Job { id, attempt, query: started.query, aim, until };
+        if let Some((connection, new)) = self.boxes.send(server, job, now) {
+            self.assign_connection(id, attempt, connection, new);
         }
     }
 
-    /// A connection has an attempt; it may be new.
-    fn carried(&mut self, id: RequestId, attempt: u32, key: usize, new: Option<boxes::Begun>) {
+    /// Records the connection that carries an attempt, and sets the timers of a connection that was just begun.
+    fn assign_connection(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        connection: usize,
+        new: Option<boxes::Begun>,
+    ) {
         let now = self.event_loop.now;
+        let timers = &mut self.event_loop.timers;
         if let Some(new) = new {
-            let wait = self.config.settings.connect_timeout.max(MS);
-            self.event_loop.timers.set(now + wait, Due::Connect(key, new.serial));
+            let timeout = self.config.settings.connect_timeout.max(MS);
+            timers.set(now + timeout, TimerEvent::ConnectTimeout(connection, new.serial));
             if let Some(delay) = new.stagger {
-                self.event_loop.timers.set(now + delay, Due::Stagger(key, new.serial));
+                timers.set(now + delay, TimerEvent::ConnectionAttemptDelay(connection, new.serial));
             }
         }
-        self.requests.carried(id, attempt, key);
+        self.requests.set_connection(id, attempt, connection);
     }
 
-    /// Ends an attempt for a reason of ours: called off, timed out, or never sent.
+    /// Ends an attempt that the proxy cancels, that timed out, or that is not sent.
     pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, mut status: Status) {
         let Some(a) = self.requests.attempt(id, attempt) else { return };
-        if let Some(key) = a.connection {
+        if let Some(connection) = a.connection {
             let given_up = GivenUp { sent: a.sent, late: status == Status::Timeout };
-            if status == Status::Timeout && !self.boxes.is_written(key, id, attempt) {
+            if status == Status::Timeout && !self.boxes.is_written(connection, id, attempt) {
                 status = Status::ConnectFailed;
             }
-            if !self.boxes.cancel(key, id, attempt, given_up, self.event_loop.now) {
-                // Its news is on the way.
+            if !self.boxes.cancel(connection, id, attempt, given_up, self.event_loop.now) {
+                // The connection has already reported the attempt's outcome, which is still in the queue.
                 return;
             }
         }
-        self.ended(id, attempt, status, &resp::Reply::default());
+        self.attempt_ended(id, attempt, status, &resp::Reply::default());
     }
 
-    fn end_attempts(&mut self, id: RequestId, status: Status) {
-        self.requests.out(id).into_iter().for_each(|n| self.end_attempt(id, n, status));
-    }
-
-    pub(crate) fn deadline(&mut self, id: RequestId) {
-        self.end_attempts(id, Status::Timeout);
-        self.process_pending();
-        // The module answers when its last attempt has timed out; this holds should it ever not.
-        if self.requests.waits(id) {
-            self.pending_events.push_back(Event::Abandoned(id));
-            self.answer(id, Answer::Failed, Final::Failed);
-        }
+    fn end_all_attempts(&mut self, id: RequestId, status: Status) {
+        self.requests.open_attempts(id).into_iter().for_each(|n| self.end_attempt(id, n, status));
     }
 
     // ---- outcomes ----
 
-    pub(crate) fn attempt_news(&mut self, news: boxes::News) {
-        match news {
-            boxes::News::Ended(id, attempt, status, reply) => self.ended(id, attempt, status, &reply),
+    pub(crate) fn handle_attempt_event(&mut self, event: boxes::News) {
+        match event {
+            boxes::News::Ended(id, attempt, status, reply) => self.attempt_ended(id, attempt, status, &reply),
             boxes::News::Served(id, attempt, reply, bytes, took) => {
-                let asked = self.copied(id);
-                self.answer(id, Answer::Served(&reply, &bytes), Final::Served);
-                self.ended(id, attempt, Status::Ok, &reply);
-                if let Some(query) = asked {
-                    self.served(&query, &reply, &bytes, took);
+                let shadowed = self.query_to_shadow(id);
+                self.answer(id, Answer::Served(&reply, &bytes), FinalResult::Served);
+                self.attempt_ended(id, attempt, Status::Ok, &reply);
+                if let Some(query) = shadowed {
+                    self.shadow_served(&query, &reply, &bytes, took);
                 }
             }
-            boxes::News::Begun(id, attempt, key, shape, length) => {
-                // Danger: it may have been called off since, and something else sent in its place.
+            boxes::News::Begun(id, attempt, connection, shape, length) => {
+                // If the attempt has been cancelled since, another one may be answering the request.
                 if self.requests.attempt(id, attempt).is_some() {
-                    let asked = self.copied(id);
-                    self.begun(id, key, shape, length);
-                    if let Some(query) = asked {
-                        self.serves_long(&query, length);
+                    let shadowed = self.query_to_shadow(id);
+                    self.start_stream(id, connection, shape, length);
+                    if let Some(query) = shadowed {
+                        self.shadow_long_value(&query, length);
                     }
                 }
-                self.ended(id, attempt, Status::Ok, &resp::Reply::default());
+                self.attempt_ended(id, attempt, Status::Ok, &resp::Reply::default());
+            }
+            boxes::News::Passed(id, bytes) => self.forward_part(id, &bytes),
+            boxes::News::Done(id, reply) => self.finish_stream(id, &reply),
+            boxes::News::Cut(id) => self.abort_stream(id),
+            boxes::News::Moved(id, attempt, connection, new) => {
+                self.assign_connection(id, attempt, connection, new);
+            }
+            boxes::News::Push(server, message) => {
+                self.observers.notify(Notification::Push(server, &message));
             }
-            boxes::News::Passed(id, bytes) => self.passed(id, &bytes),
-            boxes::News::Done(id, reply) => self.passed_whole(id, &reply),
-            boxes::News::Cut(id) => self.cut(id),
-            boxes::News::Moved(id, attempt, key, new) => self.carried(id, attempt, key, new),
-            boxes::News::Push(server, told) => self.observers.tell(Told::Push(server, &told)),
         }
     }
 
-    /// Tells the module how an attempt ended.
-    fn ended(&mut self, id: RequestId, attempt: u32, status: Status, reply: &resp::Reply) {
-        let Some(a) = self.requests.end(id, attempt) else { return };
+    /// Reports an attempt's outcome to the balancer.
+    fn attempt_ended(&mut self, id: RequestId, attempt: u32, status: Status, reply: &resp::Reply) {
+        let Some(a) = self.requests.end_attempt(id, attempt) else { return };
         self.pending_events.push_back(Event::Outcome(Outcome {
             id,
             attempt,
@@ -213,38 +203,72 @@
             elapsed: self.event_loop.now.saturating_sub(a.sent),
             request_complete: false,
             hit: reply.hit(),
-            load_report: load(&reply.load, &self.config.columns),
+            load_report: parse_load_report(&reply.load, &self.config.columns),
         }));
-        // The module is no longer concerned with it, and nothing is under way for it.
-        if self.requests.stranded(id) {
-            self.answer(id, Answer::Failed, Final::Failed);
+        // The balancer has dropped an orphaned request and will not answer it.
+        if self.requests.is_orphaned(id) {
+            self.answer(id, Answer::Failed, FinalResult::Failed);
         }
     }
 
     // ---- answers ----
 
-    /// Gives the one final answer.
-    fn answer(&mut self, id: RequestId, answer: Answer<'_>, how: Final) {
-        let Some((place, class)) = self.requests.answer(id) else { return };
-        self.give(place, class, answer, how);
+    /// Gives a request its one final answer; later ones are ignored.
+    fn answer(&mut self, id: RequestId, answer: Answer<'_>, result: FinalResult) {
+        let Some((slot, class)) = self.requests.answer(id) else { return };
+        self.write_answer(slot, class, answer, result);
         self.requests.retire(id);
     }
 
-    fn give(&mut self, place: ReplySlot, class: u32, answer: Answer<'_>, how: Final) {
-        self.observers.tell(Told::Answered(how, class));
-        self.clients.answer(place, &answer);
+    fn write_answer(&mut self, slot: ReplySlot, class: u32, answer: Answer<'_>, result: FinalResult) {
+        self.observers.notify(Notification::Answered(result, class));
+        self.clients.answer(slot, &answer);
+    }
+
+    // ---- requests that end early ----
+
+    /// Handles a request's deadline.
+    pub(crate) fn request_deadline(&mut self, id: RequestId) {
+        self.end_all_attempts(id, Status::Timeout);
+        self.process_pending();
+        // The balancer answers a request when its last attempt times out; this is a safeguard in case it does not.
+        if self.requests.is_unanswered(id) {
+            self.pending_events.push_back(Event::Abandoned(id));
+            self.answer(id, Answer::Failed, FinalResult::Failed);
+        }
+    }
+
+    /// Handles a client that has shut down its sending side. It may still be waiting for the answer, or may have left
+    /// and want nothing more done. Open attempts are therefore left to finish, and no further one is sent.
+    fn client_left(&mut self, id: RequestId) {
+        if self.requests.client_left(id) {
+            self.pending_events.push_back(Event::Abandoned(id));
+        }
+    }
+
+    /// Cancels and retires a request whose client has disconnected.
+    fn client_gone(&mut self, id: RequestId) {
+        self.cancel_stream(id);
+        if self.requests.answer(id).is_none() {
+            return;
+        }
+        self.observers.notify(Notification::Abandoned);
+        self.pending_events.push_back(Event::Abandoned(id));
+        self.end_all_attempts(id, Status::Cancelled);
+        self.requests.retire(id);
     }
 }
 
-/// Reads a load report: `name=value`, in the order of the columns; one that is not told is NaN.
-fn load(report: &[u8], columns: &[String]) -> Vec<f64> {
+/// Parses a load report, `name=value` separated by commas, into the order of the configured columns. A column that the
+/// report does not contain is NaN.
+fn parse_load_report(report: &[u8], columns: &[String]) -> Vec<f64> {
     if columns.is_empty() || report.is_empty() {
         return Vec::new();
     }
     let report = String::from_utf8_lossy(report);
-    let told = |column: &String| {
+    let value = |column: &String| {
         let pair = report.split(',').filter_map(|p| p.split_once('=')).find(|(name, _)| name == column);
         pair.and_then(|(_, value)| value.parse().ok()).unwrap_or(f64::NAN)
     };
-    columns.iter().map(told).collect()
+    columns.iter().map(value).collect()
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! trestlesill: one real proxy. It reads its configuration, listens, and runs until SIGTERM.
+//! The `trestlesill` executable: reads the configuration, listens, and serves until SIGTERM.
 
 use operator::Operator;
 use std::path::PathBuf;
@@ -8,30 +8,31 @@
 
 const USAGE: &str = "usage: trestlesill [--operator FILE] [--check]; NODE_CONFIG names the configuration";
 
-/// What the command line asks for.
+/// The command-line options.
 struct Options {
+    /// The operator's file.
     operator: Option<PathBuf>,
-    /// Only read and check the files.
+    /// Only read and validate the files.
     check: bool,
 }
 
-fn options(mut args: impl Iterator<Item = std::ffi::OsString>) -> Result<Options, String> {
+fn parse_options(mut args: impl Iterator<Item = std::ffi::OsString>) -> Result<Options, String> {
     let mut options = Options { operator: None, check: false };
     while let Some(arg) = args.next() {
         if arg == "--operator" && options.operator.is_none() {
-            let file = args.next().ok_or_else(|| format!("--operator names no file; {USAGE}"))?;
+            let file = args.next().ok_or_else(|| format!("--operator needs a file name; {USAGE}"))?;
             options.operator = Some(file.into());
         } else if arg == "--check" {
             options.check = true;
         } else {
-            return Err(format!("{arg:?} is not understood; {USAGE}"));
+            return Err(format!("unexpected argument {arg:?}; {USAGE}"));
         }
     }
     Ok(options)
 }
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
-    let options = options(std::env::args_os().skip(1))?;
+    let options = parse_options(std::env::args_os().skip(1))?;
     let config = Config::from_env()?;
     let operator = match &options.operator {
         Some(file) => Operator::load(file, &config.name)?,
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,64 +1,67 @@
-//! What operators are shown: counts of answers by class, and how things stand, as lines of statsd's text form
-//! (`name:value|c` for what has been counted since the start, `|g` for what is so now).
+//! Metrics for operators: answers by class and the current load, in the text format of statsd
+//! (`name:value|c` for a counter since the start, `name:value|g` for a gauge).
 
-use crate::observers::{Final, Observer, Told};
+use crate::observers::{FinalResult, Notification, Observer};
 use std::fmt::Write;
 
-/// Before each name.
+/// The prefix of each metric's name.
 const PREFIX: &str = "svc";
 
-/// How things stand.
+/// Values read when the metrics are written.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Attempts written whole since the start.
+    /// Attempts written in full since the start.
     pub backend_calls: u64,
-    /// Requests taken and not ended.
+    /// Requests accepted and not yet finished.
     pub inflight: usize,
     /// Cache nodes in the list.
     pub hosts_listed: usize,
-    /// Those of them that are avoided.
+    /// Listed cache nodes that the balancer avoids.
     pub hosts_down: usize,
 }
 
-/// Counts of answers by class.
+/// Counts of final answers by request class.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Served, refused, failed.
-    classes: Vec<[u64; 3]>,
+    /// Served, refused and failed requests, indexed by class.
+    by_class: Vec<[u64; 3]>,
 }
 
 impl Observer for Metrics {
-    fn tell(&mut self, told: &Told<'_>) {
-        let Told::Answered(how, class) = told else { return };
+    fn notify(&mut self, notification: &Notification<'_>) {
+        let Notification::Answered(result, class) = notification else { return };
         let class = *class as usize;
-        if self.classes.len() <= class {
-            self.classes.resize(class + 1, [0; 3]);
+        if self.by_class.len() <= class {
+            self.by_class.resize(class + 1, [0; 3]);
         }
-        let at = match how {
-            Final::Served => 0,
-            Final::Refused => 1,
-            Final::Failed => 2,
+        let index = match result {
+            FinalResult::Served => 0,
+            FinalResult::Refused => 1,
+            FinalResult::Failed => 2,
         };
-        self.classes[class][at] += 1;
+        self.by_class[class][index] += 1;
     }
 }
 
 impl Metrics {
-    /// All of them, a line each; every class is there from the start.
-    pub fn write(&self, classes: &[String], now: &Gauges) -> String {
+    /// Formats all metrics, one per line. Classes without answers are included.
+    pub fn write(&self, classes: &[String], gauges: &Gauges) -> String {
         let mut out = String::new();
         let none = [0; 3];
         for (i, class) in classes.iter().enumerate() {
-            let counts = self.classes.get(i).unwrap_or(&none);
-            for (outcome, count) in ["success", "busy", "failure"].iter().zip(counts) {
+            let counts = self.by_class.get(i).unwrap_or(&none);
+            for (result, count) in ["success", "busy", "failure"].iter().zip(counts) {
                 // Writing to a string cannot fail.
-                let _ = writeln!(out, "{PREFIX}.{outcome}.{class}:{count}|c");
+                let _ = writeln!(out, "{PREFIX}.{result}.{class}:{count}|c");
             }
         }
-        let _ = writeln!(out, "{PREFIX}.backend_calls:{}|c", now.backend_calls);
-        let gauges =
-            [("inflight", now.inflight), ("hosts_listed", now.hosts_listed), ("hosts_down", now.hosts_down)];
-        for (name, value) in gauges {
+        let _ = writeln!(out, "{PREFIX}.backend_calls:{}|c", gauges.backend_calls);
+        let values = [
+            ("inflight", gauges.inflight),
+            ("hosts_listed", gauges.hosts_listed),
+            ("hosts_down", gauges.hosts_down),
+        ];
+        for (name, value) in values {
             let _ = writeln!(out, "{PREFIX}.{name}:{value}|g");
         }
         out
@@ -70,13 +73,18 @@
     use super::*;
 
     #[test]
-    fn each_answer_counts_once_under_its_class_and_how_it_went() {
-        let mut figures = Metrics::default();
-        let all = [(Final::Served, 1), (Final::Served, 1), (Final::Refused, 0), (Final::Failed, 1)];
-        all.iter().for_each(|(how, class)| figures.tell(&Told::Answered(*how, *class)));
-        figures.tell(&Told::Arrived);
-        let now = Gauges { backend_calls: 7, inflight: 2, hosts_listed: 12, hosts_down: 3 };
-        let text = figures.write(&["read".into(), "put".into(), "rare".into()], &now);
+    fn each_answer_is_counted_once_by_class_and_result() {
+        let mut metrics = Metrics::default();
+        let answers = [
+            (FinalResult::Served, 1),
+            (FinalResult::Served, 1),
+            (FinalResult::Refused, 0),
+            (FinalResult::Failed, 1),
+        ];
+        answers.iter().for_each(|(result, class)| metrics.notify(&Notification::Answered(*result, *class)));
+        metrics.notify(&Notification::Arrived);
+        let gauges = Gauges { backend_calls: 7, inflight: 2, hosts_listed: 12, hosts_down: 3 };
+        let text = metrics.write(&["read".into(), "put".into(), "rare".into()], &gauges);
         let mut lines: Vec<&str> = text.lines().collect();
         lines.sort_unstable();
         assert_eq!(
--- a/crates/proxy/src/observers.rs
+++ b/crates/proxy/src/observers.rs
@@ -1,139 +1,85 @@
-//! The path of a request: the gates that an arrival passes before the module hears of it, and the observers
-//! that are told what became of it. Each is listed here once, in the order in which it acts; one that is
-//! switched off is `None` and costs a branch.
+//! Observers: components that are notified of what happens to requests and do not influence it. They are listed in
+//! [`Observers`] once, in the order in which they are notified.
 
 use crate::metrics::Metrics;
-use crate::request::Query;
 use calicosaddle::api::ServerId;
 use control::message::Counters;
 use resp::Frame;
 
-/// Requests open at once; each takes about a kilobyte.
-const MAX_OPEN: usize = 8_192;
-
-/// The final answer of a request.
+/// The final result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalResult {
     /// A cache node served it.
     Served,
-    /// It was turned away; trying again is harmless.
+    /// It was refused; retrying is harmless.
     Refused,
-    /// It failed; nothing is promised.
+    /// It failed; whether it took effect is unknown.
     Failed,
 }
 
-/// What a gate says of an arrival.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It goes on.
-    Pass,
-    /// It is refused: nothing has been done for it.
-    Refuse,
-}
-
-/// May refuse an arrival before the module sees it. Untouched, an arrival may always be refused.
-pub trait Gate {
-    /// Judges an arrival while so many requests are open.
-    fn judge(&mut self, query: &Query, open: usize) -> Verdict;
-}
-
-/// No more requests are open than there is room for.
-#[derive(Debug)]
-pub struct Room {
-    most: usize,
-}
-
-impl Gate for Room {
-    fn judge(&mut self, _: &Query, open: usize) -> Verdict {
-        if open < self.most {
-            Verdict::Pass
-        } else {
-            Verdict::Refuse
-        }
-    }
-}
-
-/// All gates.
+/// What observers are notified of.
 #[derive(Debug)]
-pub struct Gates {
-    room: Room,
-}
-
-impl Gates {
-    /// The gates of a configuration.
-    pub fn new(max_open: usize) -> Self {
-        Gates { room: Room { most: max_open.min(MAX_OPEN) } }
-    }
-
-    /// Leads an arrival through, up to the first gate that refuses it.
-    pub fn judge(&mut self, query: &Query, open: usize) -> Verdict {
-        self.room.judge(query, open)
-    }
-}
-
-/// What observers are told.
-#[derive(Debug)]
-pub enum Told<'a> {
-    /// A command that asks for something has come.
+pub enum Notification<'a> {
+    /// A read or write command arrived.
     Arrived,
-    /// An attempt was begun.
+    /// An attempt was started.
     Attempt,
-    /// The final answer was given to a request of this class.
-    Answered(Final, u32),
-    /// The client is gone, and nothing can be answered.
+    /// A request of this class got its final answer.
+    Answered(FinalResult, u32),
+    /// The client disconnected before its request was answered.
     Abandoned,
-    /// Discovery told a list, whole or changes only.
+    /// Discovery delivered a list, either complete or with changes only.
     List,
-    /// A cache node told something that nobody asked for: its kind first, as `invalidate` or `message`, and what
-    /// it tells. Clients are not told.
+    /// A cache node sent an out-of-band message: its kind first, such as `invalidate` or `message`, then its content.
+    /// It is not forwarded to clients.
     Push(ServerId, &'a [Frame]),
 }
 
-/// Is told what happens to requests, and answers nothing.
+/// Is notified of what happens to requests.
 pub trait Observer {
-    /// Hears of it.
-    fn tell(&mut self, told: &Told<'_>);
+    /// Handles a notification.
+    fn notify(&mut self, notification: &Notification<'_>);
 }
 
 impl Observer for Counters {
-    fn tell(&mut self, told: &Told<'_>) {
-        *match told {
-            Told::Arrived => &mut self.accepted,
-            Told::Attempt => &mut self.attempts,
-            Told::Answered(Final::Served, _) => &mut self.served,
-            Told::Answered(Final::Refused, _) => &mut self.refused,
-            Told::Answered(Final::Failed, _) => &mut self.failed,
-            Told::Abandoned => &mut self.abandoned,
-            Told::List => &mut self.lists,
-            Told::Push(..) => &mut self.pushes,
+    fn notify(&mut self, notification: &Notification<'_>) {
+        *match notification {
+            Notification::Arrived => &mut self.accepted,
+            Notification::Attempt => &mut self.attempts,
+            Notification::Answered(FinalResult::Served, _) => &mut self.served,
+            Notification::Answered(FinalResult::Refused, _) => &mut self.refused,
+            Notification::Answered(FinalResult::Failed, _) => &mut self.failed,
+            Notification::Abandoned => &mut self.abandoned,
+            Notification::List => &mut self.lists,
+            Notification::Push(..) => &mut self.pushes,
         } += 1;
     }
 }
 
-/// Wants to know what cache nodes push. It is told in the loop, so it must not wait for anything.
+/// Receives the messages that cache nodes push. It is called from the event loop, so it must not block.
 pub trait Subscriber {
-    /// A node told this: its kind first, as `invalidate` or `message`.
-    fn pushed(&mut self, server: ServerId, told: &[Frame]);
+    /// Handles a message from a node: its kind first, such as `invalidate` or `message`.
+    fn on_push(&mut self, server: ServerId, message: &[Frame]);
 }
 
 /// All observers.
 #[derive(Default)]
 pub struct Observers {
-    /// Counts, for controllers.
+    /// Counters for the control endpoint.
     pub counters: Counters,
-    /// Counts by class, for operators.
+    /// Metrics by class for operators.
     pub metrics: Metrics,
-    /// Those that want to know of pushes.
+    /// Receivers of pushed messages.
     pub subscribers: Vec<Box<dyn Subscriber>>,
 }
 
 impl Observers {
-    /// Tells them all.
-    pub fn tell(&mut self, told: Told<'_>) {
-        self.counters.tell(&told);
-        self.metrics.tell(&told);
-        if let Told::Push(server, told) = told {
-            self.subscribers.iter_mut().for_each(|s| s.pushed(server, told));
+    /// Notifies all observers.
+    pub fn notify(&mut self, notification: Notification<'_>) {
+        self.counters.notify(&notification);
+        self.metrics.notify(&notification);
+        if let Notification::Push(server, message) = notification {
+            self.subscribers.iter_mut().for_each(|s| s.on_push(server, message));
         }
     }
 }
@@ -141,36 +87,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::platform::config::tests::sample;
-    use crate::request::tests::query;
 
     #[test]
-    fn subscribers_hear_each_push_and_nothing_else() {
-        struct Heard(std::rc::Rc<std::cell::RefCell<Vec<(ServerId, Frame)>>>);
-        impl Subscriber for Heard {
-            fn pushed(&mut self, server: ServerId, told: &[Frame]) {
-                self.0.borrow_mut().extend(told.first().map(|f| (server, f.clone())));
+    fn subscribers_receive_each_push_and_nothing_else() {
+        struct Recorder(std::rc::Rc<std::cell::RefCell<Vec<(ServerId, Frame)>>>);
+        impl Subscriber for Recorder {
+            fn on_push(&mut self, server: ServerId, message: &[Frame]) {
+                self.0.borrow_mut().extend(message.first().map(|f| (server, f.clone())));
             }
         }
-        let heard = std::rc::Rc::default();
+        let received = std::rc::Rc::default();
         let mut observers = Observers::default();
-        observers.subscribers.push(Box::new(Heard(std::rc::Rc::clone(&heard))));
-        observers.tell(Told::Arrived);
-        observers.tell(Told::Push(7, &[Frame::text("invalidate"), Frame::Null]));
-        assert_eq!(*heard.borrow(), [(7, Frame::text("invalidate"))]);
+        observers.subscribers.push(Box::new(Recorder(std::rc::Rc::clone(&received))));
+        observers.notify(Notification::Arrived);
+        observers.notify(Notification::Push(7, &[Frame::text("invalidate"), Frame::Null]));
+        assert_eq!(*received.borrow(), [(7, Frame::text("invalidate"))]);
         assert_eq!((observers.counters.accepted, observers.counters.pushes), (1, 1));
     }
-
-    #[test]
-    fn an_arrival_past_the_room_is_refused() {
-        let query = query(&sample());
-        for (room, open, verdict) in [
-            (2, 1, Verdict::Pass),
-            (2, 2, Verdict::Refuse),
-            (usize::MAX, MAX_OPEN - 1, Verdict::Pass),
-            (usize::MAX, MAX_OPEN, Verdict::Refuse),
-        ] {
-            assert_eq!(Gates::new(room).judge(&query, open), verdict, "{open} of {room}");
-        }
-    }
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests: what a client asked, and the table of those that are open, from their arrival to the one answer
-//! and until nothing is under way for them. No sockets; connections are numbers here.
+//! Requests: the command that a client sent, and the table of open requests, each from its arrival until it is answered
+//! and no attempt is under way. No sockets here; connections are represented by their numbers.
 
 use crate::platform::config::Config;
 use calicosaddle::api::{server_id, Nanos, Request, RequestId, RetrySafety, ServerId};
@@ -12,102 +12,134 @@
 use std::rc::Rc;
 
 const MS: Nanos = 1_000_000;
-/// The answer leaves this much before the client's time is up (a tenth of it where that is less), so that it
-/// is in time though the loop may be late.
-const MARGIN: Nanos = 10 * MS;
-/// The longest key and request id.
-const MAX_NAME: usize = 256;
-const MAX_ID: usize = 64;
-
-/// A read or write as the client sent it.
+/// The proxy answers this long before the client's time is up (a tenth of it where that is less), so that the answer is
+/// in time even if the event loop is delayed.
+const ANSWER_MARGIN: Nanos = 10 * MS;
+/// The longest key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// The longest request id, in bytes.
+const MAX_ID_BYTES: usize = 64;
+
+/// A read or write command from a client.
 #[derive(Debug)]
 pub struct Query {
     command: Command,
-    /// Where the value of `d` stands in the fourth argument.
-    wait_at: Range<usize>,
-    /// Its class, by number.
+    /// The position of the value of `d` (the time-out) in the fourth argument.
+    timeout_range: Range<usize>,
+    /// The index of its class.
     pub class: u32,
-    /// Its tenant, by number.
+    /// The index of its tenant.
     pub tenant: Option<u32>,
     /// Its key.
     pub key: u64,
-    /// It writes.
+    /// True for a write, false for a read.
     pub write: bool,
-    /// How long the client waits.
-    pub wait: Nanos,
-    /// The work to expect, where told.
-    pub hint: Option<Nanos>,
-    /// The client's repeat, where marked.
-    pub repeat: bool,
-    /// A write: over which addresses of which boxes its last byte went out, and may have arrived.
+    /// How long the client waits for the answer.
+    pub timeout: Nanos,
+    /// The expected amount of work, if given.
+    pub expected_work: Option<Nanos>,
+    /// The client marked it as a retry.
+    pub is_retry: bool,
+    /// For a write: the nodes and addresses to which its last byte was written, and which may have received it.
     pub sent_via: RefCell<Vec<(ServerId, addresses::AddressId)>>,
 }
 
+/// The fields of a command's fourth argument, `name=value` separated by commas.
+#[derive(Default)]
+struct Fields {
+    class: Option<usize>,
+    tenant: Option<u32>,
+    /// The time-out, and the position of its value in the argument.
+    timeout: Option<(Nanos, Range<usize>)>,
+    has_dedup_key: bool,
+    expected_work: Option<Nanos>,
+    is_retry: bool,
+}
+
+impl Fields {
+    fn parse(text: &str, config: &Config) -> Result<Fields, &'static str> {
+        let mut fields = Fields::default();
+        let mut start = 0;
+        for field in text.split(',') {
+            let (name, value) = field.split_once('=').ok_or("-ERR a field has no value\r\n")?;
+            match name {
+                "c" => fields.class = config.classes.iter().position(|c| c == value),
+                "t" => fields.tenant = config.tenants.iter().position(|t| t == value).map(|t| t as u32),
+                "d" => {
+                    let ms: u64 = value.parse().map_err(|_| "-ERR d is not a number\r\n")?;
+                    fields.timeout = Some((ms.saturating_mul(MS), start + 2..start + field.len()));
+                }
+                "k" => fields.has_dedup_key = !value.is_empty(),
+                "r" => fields.is_retry = value == "1",
+                "h" => fields.expected_work = value.parse::<u64>().ok().map(|us| us.saturating_mul(1_000)),
+                _ => {}
+            }
+            start += field.len() + 1;
+        }
+        Ok(fields)
+    }
+}
+
 impl Query {
-    /// Reads a command, named `CACHE.GET` or `CACHE.SET`.
+    /// Parses a `CACHE.GET` or `CACHE.SET` command.
     ///
     /// # Errors
-    /// The error line for a client whose command can't be used.
+    /// The error line for a client whose command is invalid.
     pub fn parse(command: Command, config: &Config) -> Result<Query, &'static str> {
         let write = command.arg(0).eq_ignore_ascii_case(b"CACHE.SET");
         if command.arity() != if write { 5 } else { 4 } {
             return Err("-ERR wrong number of arguments\r\n");
         }
-        // What cache nodes can't use is not passed on: they may close on it, and on all that waits behind it.
-        let fits = |i: usize, most: usize| {
+        // Invalid arguments are not forwarded: a cache node may close the connection on them, which would also fail
+        // the requests pipelined behind.
+        let is_valid = |i: usize, max_bytes: usize| {
             let arg = command.arg(i);
-            !arg.is_empty() && arg.len() <= most && arg.iter().all(u8::is_ascii_graphic)
+            !arg.is_empty() && arg.len() <= max_bytes && arg.iter().all(u8::is_ascii_graphic)
         };
-        if !fits(1, MAX_NAME) {
+        if !is_valid(1, MAX_KEY_BYTES) {
             return Err("-ERR invalid key\r\n");
         }
-        if !fits(2, MAX_ID) {
+        if !is_valid(2, MAX_ID_BYTES) {
             return Err("-ERR invalid request id\r\n");
         }
-        let fields = std::str::from_utf8(command.arg(3)).map_err(|_| "-ERR fields are not text\r\n")?;
-        let (mut class, mut tenant, mut wait, mut key, mut hint, mut repeat) =
-            (None, None, None, false, None, false);
-        let mut at = 0;
-        for field in fields.split(',') {
-            let (name, value) = field.split_once('=').ok_or("-ERR a field has no value\r\n")?;
-            match name {
-                "c" => class = config.classes.iter().position(|c| c == value),
-                "t" => tenant = config.tenants.iter().position(|t| t == value).map(|t| t as u32),
-                "d" => {
-                    let ms: u64 = value.parse().map_err(|_| "-ERR d is not a number\r\n")?;
-                    wait = Some((ms.saturating_mul(MS), at + 2..at + field.len()));
-                }
-                "k" => key = !value.is_empty(),
-                "r" => repeat = value == "1",
-                "h" => hint = value.parse::<u64>().ok().map(|us| us.saturating_mul(1_000)),
-                _ => {}
-            }
-            at += field.len() + 1;
-        }
+        let text = std::str::from_utf8(command.arg(3)).map_err(|_| "-ERR fields are not text\r\n")?;
+        let Fields { class, tenant, timeout, has_dedup_key, expected_work, is_retry } =
+            Fields::parse(text, config)?;
         let class = class.ok_or("-ERR unknown class\r\n")?;
-        let (wait, wait_at) = wait.ok_or("-ERR d is missing\r\n")?;
-        // Danger: cache nodes know a repeat by its key; a keyed write without one could run twice.
+        let (timeout, timeout_range) = timeout.ok_or("-ERR d is missing\r\n")?;
+        // Cache nodes recognise a retried write by its deduplication key; a keyed write without one could run twice.
         let keyed = config.settings.classes.get(class).is_some_and(|c| c.retry_safety == RetrySafety::Keyed);
-        if keyed && !key {
+        if keyed && !has_dedup_key {
             return Err("-ERR k is missing\r\n");
         }
-        // Nobody waits longer than the class allows, whatever a client says: so long is state kept for it.
-        let wait = wait.min(config.settings.classes.get(class).map_or(0, |c| c.deadline));
+        // Whatever the client asks for, it waits no longer than its class allows, which bounds how long state is kept.
+        let timeout = timeout.min(config.settings.classes.get(class).map_or(0, |c| c.deadline));
         let name = std::str::from_utf8(command.arg(1)).unwrap_or_default();
         let hex = if name.len() <= 16 { u64::from_str_radix(name, 16).ok() } else { None };
         let key = hex.unwrap_or_else(|| server_id(&String::from_utf8_lossy(command.arg(1))));
         let class = class as u32;
         let sent_via = RefCell::default();
-        Ok(Query { wait_at, class, tenant, key, write, wait, hint, repeat, sent_via, command })
+        Ok(Query {
+            timeout_range,
+            class,
+            tenant,
+            key,
+            write,
+            timeout,
+            expected_work,
+            is_retry,
+            sent_via,
+            command,
+        })
     }
 
-    /// Writes the command for a cache node, but for a write's value, with the time that the proxy will wait.
-    pub fn encode(&self, ms: u64, out: &mut Vec<u8>) {
-        self.encode_as(self.id(), ms, out);
+    /// Encodes the command for a cache node, without a write's value, with the time that the proxy will wait.
+    pub fn encode(&self, timeout_ms: u64, out: &mut Vec<u8>) {
+        self.encode_with_id(self.id(), timeout_ms, out);
     }
 
-    /// The same under another id.
-    pub fn encode_as(&self, id: &[u8], ms: u64, out: &mut Vec<u8>) {
+    /// As [`Query::encode`], with another request id.
+    pub fn encode_with_id(&self, id: &[u8], timeout_ms: u64, out: &mut Vec<u8>) {
         // Writing to a vector cannot fail.
         let _ = write!(out, "*{}\r\n", self.command.arity());
         for arg in [self.command.arg(0), self.command.arg(1), id] {
@@ -116,11 +148,11 @@
             out.extend_from_slice(b"\r\n");
         }
         let fields = self.command.arg(3);
-        let (before, after) = (&fields[..self.wait_at.start], &fields[self.wait_at.end..]);
-        let digits = ms.checked_ilog10().unwrap_or(0) as usize + 1;
+        let (before, after) = (&fields[..self.timeout_range.start], &fields[self.timeout_range.end..]);
+        let digits = timeout_ms.checked_ilog10().unwrap_or(0) as usize + 1;
         let _ = write!(out, "${}\r\n", before.len() + digits + after.len());
         out.extend_from_slice(before);
-        let _ = write!(out, "{ms}");
+        let _ = write!(out, "{timeout_ms}");
         out.extend_from_slice(after);
         out.extend_from_slice(b"\r\n");
         if self.write {
@@ -128,7 +160,7 @@
         }
     }
 
-    /// The request's id, as its client gave it.
+    /// The request id that the client gave.
     pub fn id(&self) -> &[u8] {
         self.command.arg(2)
     }
@@ -139,30 +171,30 @@
     }
 }
 
-/// A request's place on a client's connection.
+/// Where a request's answer belongs among the answers on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplySlot {
     /// The connection.
     pub client: usize,
-    /// Which of its commands.
+    /// The command's number on this connection.
     pub number: u64,
 }
 
-/// The one final answer of a request, before it is written in its client's protocol.
+/// The one final answer to a request, before it is encoded in the client's protocol.
 #[derive(Clone, Copy, Debug)]
 pub enum Answer<'a> {
-    /// What a cache node replied, and the bytes that came with it.
+    /// A cache node's reply, and the bytes that came with it.
     Served(&'a Reply, &'a [u8]),
-    /// A refusal: trying again is harmless, after so many milliseconds if that is told (0 if not).
+    /// A refusal: retrying is harmless, after this many milliseconds (0: no advice).
     Busy(u64),
-    /// It failed: nothing is promised.
+    /// The request failed; whether it took effect is unknown.
     Failed,
-    /// Its id is that of another request that is open.
+    /// Another open request has the same id.
     IdInUse,
 }
 
 impl Answer<'_> {
-    /// Writes it. Errors are the same lines in both protocols.
+    /// Encodes the answer. Error lines are the same in both protocols.
     pub fn write(&self, protocol: Protocol, out: &mut Vec<u8>) {
         match self {
             Answer::Served(reply, bytes) => reply.write(bytes, protocol, out),
@@ -180,162 +212,176 @@
 /// An attempt that has not ended.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Which of its request's.
+    /// Its number within the request.
     pub number: u32,
-    /// Where it went.
+    /// The node it was sent to.
     pub server: ServerId,
-    /// When.
+    /// When it was sent.
     pub sent: Nanos,
-    /// The connection that has it.
+    /// The connection that carries it.
     pub connection: Option<usize>,
 }
 
-/// A request that is not answered, or has attempts out.
+/// A request that is not answered yet or has open attempts.
 #[derive(Debug)]
-struct Open {
-    place: ReplySlot,
+struct OpenRequest {
+    slot: ReplySlot,
     query: Rc<Query>,
-    until: Nanos,
-    attempts: u32,
-    out: Vec<Attempt>,
+    deadline: Nanos,
+    attempts_started: u32,
+    open_attempts: Vec<Attempt>,
     answered: bool,
-    /// The module has been told that the client left; what is under way may still be answered.
-    left: bool,
+    /// The client sends nothing more, and the balancer knows; an open attempt may still answer the request.
+    client_left: bool,
 }
 
-/// An attempt that was begun.
+/// An attempt that was just started.
 #[derive(Debug)]
-pub struct Begun {
-    /// Which of its request's.
+pub struct StartedAttempt {
+    /// Its number within the request.
     pub number: u32,
-    /// What the client sent.
+    /// The client's command.
     pub query: Rc<Query>,
-    /// When the client's time is up.
-    pub until: Nanos,
-    /// The request is over, and nothing may be sent for it.
-    pub over: bool,
+    /// The request's deadline.
+    pub deadline: Nanos,
+    /// The request allows no further attempt: this one must not be sent.
+    pub is_moot: bool,
 }
 
 /// The open requests.
 #[derive(Debug, Default)]
-pub struct Table {
-    open: FxHashMap<RequestId, Open>,
-    /// The ids that clients gave to these. They choose them, so the hash is keyed.
-    ids: HashSet<Box<[u8]>>,
+pub struct RequestTable {
+    open: FxHashMap<RequestId, OpenRequest>,
+    /// The ids that clients gave to the open requests. Clients choose them, so the hash is keyed.
+    client_ids: HashSet<Box<[u8]>>,
 }
 
-impl Table {
-    /// How many there are, those counted that are answered and have attempts out.
+impl RequestTable {
+    /// The number of open requests, including answered ones with open attempts.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// How many wait for their answer.
+    /// The number of requests that are not answered yet.
     pub fn unanswered(&self) -> usize {
         self.open.values().filter(|o| !o.answered).count()
     }
 
-    /// Takes a request in: what the module is to be told, and when its time is up. It may have come at `since`
-    /// already. Nothing if its id is that of an open one.
-    ///
-    /// Danger: cache nodes take a second request under an id that is open for another copy of the first.
+    /// Adds a request that may have arrived as early as `arrived`. Returns the event for the balancer and the
+    /// request's deadline, or nothing if another open request has the same id: cache nodes would treat a second
+    /// request under an open id as a copy of the first.
     pub fn arrive(
         &mut self,
         id: RequestId,
-        place: ReplySlot,
+        slot: ReplySlot,
         query: Rc<Query>,
-        since: Nanos,
+        arrived: Nanos,
         now: Nanos,
     ) -> Option<(Request, Nanos)> {
-        if !self.ids.insert(query.id().into()) {
+        if !self.client_ids.insert(query.id().into()) {
             return None;
         }
-        let margin = MARGIN.min(query.wait / 10);
-        let until = since + query.wait - margin;
+        let margin = ANSWER_MARGIN.min(query.timeout / 10);
+        let deadline = arrived + query.timeout - margin;
         let request = Request {
             id,
             class: query.class,
             tenant: query.tenant,
             key: Some(query.key),
-            remaining: until.saturating_sub(now),
-            expected_work: query.hint,
-            is_retry: query.repeat,
+            remaining: deadline.saturating_sub(now),
+            expected_work: query.expected_work,
+            is_retry: query.is_retry,
             write: query.write,
         };
-        let open = Open { place, query, until, attempts: 0, out: Vec::new(), answered: false, left: false };
+        let open = OpenRequest {
+            slot,
+            query,
+            deadline,
+            attempts_started: 0,
+            open_attempts: Vec::new(),
+            answered: false,
+            client_left: false,
+        };
         self.open.insert(id, open);
-        Some((request, until))
+        Some((request, deadline))
     }
 
-    /// Begins an attempt; nothing if there is no such request.
-    pub fn begin(&mut self, id: RequestId, server: ServerId, most: u32, now: Nanos) -> Option<Begun> {
+    /// Starts an attempt; returns nothing if the request is not open.
+    pub fn start_attempt(
+        &mut self,
+        id: RequestId,
+        server: ServerId,
+        max_attempts: u32,
+        now: Nanos,
+    ) -> Option<StartedAttempt> {
         let open = self.open.get_mut(&id)?;
-        let number = open.attempts;
-        open.attempts += 1;
-        open.out.push(Attempt { number, server, sent: now, connection: None });
-        let over = open.answered || open.left || open.until <= now || number >= most;
-        Some(Begun { number, query: open.query.clone(), until: open.until, over })
+        let number = open.attempts_started;
+        open.attempts_started += 1;
+        open.open_attempts.push(Attempt { number, server, sent: now, connection: None });
+        let is_moot = open.answered || open.client_left || open.deadline <= now || number >= max_attempts;
+        Some(StartedAttempt { number, query: open.query.clone(), deadline: open.deadline, is_moot })
     }
 
-    /// Notes the connection that has an attempt.
-    pub fn carried(&mut self, id: RequestId, attempt: u32, connection: usize) {
-        let out = self.open.get_mut(&id).map(|o| &mut o.out);
-        if let Some(a) = out.and_then(|out| out.iter_mut().find(|a| a.number == attempt)) {
+    /// Records the connection that carries an attempt.
+    pub fn set_connection(&mut self, id: RequestId, attempt: u32, connection: usize) {
+        let attempts = self.open.get_mut(&id).map(|o| &mut o.open_attempts);
+        if let Some(a) = attempts.and_then(|all| all.iter_mut().find(|a| a.number == attempt)) {
             a.connection = Some(connection);
         }
     }
 
-    /// An attempt that is out.
+    /// An open attempt.
     pub fn attempt(&self, id: RequestId, attempt: u32) -> Option<&Attempt> {
-        self.open.get(&id)?.out.iter().find(|a| a.number == attempt)
+        self.open.get(&id)?.open_attempts.iter().find(|a| a.number == attempt)
     }
 
-    /// The numbers of a request's attempts that are out.
-    pub fn out(&self, id: RequestId) -> Vec<u32> {
-        self.open.get(&id).map_or_else(Vec::new, |o| o.out.iter().map(|a| a.number).collect())
+    /// The numbers of a request's open attempts.
+    pub fn open_attempts(&self, id: RequestId) -> Vec<u32> {
+        self.open.get(&id).map_or_else(Vec::new, |o| o.open_attempts.iter().map(|a| a.number).collect())
     }
 
-    /// Ends an attempt.
-    pub fn end(&mut self, id: RequestId, attempt: u32) -> Option<Attempt> {
-        let out = &mut self.open.get_mut(&id)?.out;
-        let at = out.iter().position(|a| a.number == attempt)?;
-        Some(out.swap_remove(at))
+    /// Removes an attempt that has ended.
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u32) -> Option<Attempt> {
+        let attempts = &mut self.open.get_mut(&id)?.open_attempts;
+        let index = attempts.iter().position(|a| a.number == attempt)?;
+        Some(attempts.swap_remove(index))
     }
 
-    /// What the client of a request asked that waits for its answer.
-    pub fn asked(&self, id: RequestId) -> Option<&Rc<Query>> {
+    /// The command of a request that is not answered yet.
+    pub fn unanswered_query(&self, id: RequestId) -> Option<&Rc<Query>> {
         self.open.get(&id).filter(|o| !o.answered).map(|o| &o.query)
     }
 
-    /// There is such a request, and it waits for its answer.
-    pub fn waits(&self, id: RequestId) -> bool {
+    /// True if the request is open and not answered yet.
+    pub fn is_unanswered(&self, id: RequestId) -> bool {
         self.open.get(&id).is_some_and(|o| !o.answered)
     }
 
-    /// The client will send nothing more: no attempt may begin. False if the request waits no longer.
-    pub fn leave(&mut self, id: RequestId) -> bool {
+    /// Records that the client sends nothing more, so that no attempt is sent for the request. Returns false if the
+    /// request is already answered or not open.
+    pub fn client_left(&mut self, id: RequestId) -> bool {
         let open = self.open.get_mut(&id).filter(|o| !o.answered);
-        open.map(|o| o.left = true).is_some()
+        open.map(|o| o.client_left = true).is_some()
     }
 
-    /// The client left, and nothing is under way for it any more: only its answer is missing.
-    pub fn stranded(&self, id: RequestId) -> bool {
-        self.open.get(&id).is_some_and(|o| !o.answered && o.left && o.out.is_empty())
+    /// True if the request is unanswered, its client has left, and no attempt is open that could answer it.
+    pub fn is_orphaned(&self, id: RequestId) -> bool {
+        self.open.get(&id).is_some_and(|o| !o.answered && o.client_left && o.open_attempts.is_empty())
     }
 
-    /// Where its answer goes and what its class is, once: a request that is answered, or whose client is gone,
-    /// has no place.
+    /// Marks a request as answered. Returns where the answer goes and the request's class, or nothing if it was
+    /// answered before.
     pub fn answer(&mut self, id: RequestId) -> Option<(ReplySlot, u32)> {
         let open = self.open.get_mut(&id).filter(|o| !o.answered)?;
         open.answered = true;
-        Some((open.place, open.query.class))
+        Some((open.slot, open.query.class))
     }
 
-    /// Forgets a request that is answered and has no attempt out.
+    /// Removes a request that is answered and has no open attempt.
     pub fn retire(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.answered && o.out.is_empty()) {
+        if self.open.get(&id).is_some_and(|o| o.answered && o.open_attempts.is_empty()) {
             if let Some(open) = self.open.remove(&id) {
-                self.ids.remove(open.query.id());
+                self.client_ids.remove(open.query.id());
             }
         }
     }
@@ -351,48 +397,52 @@
         let mut parser = CommandParser::new(Room::new(0));
         let bytes = b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\n1\r\n$1\r\na\r\n$12\r\nc=read,d=500\r\n";
         let (_, command) = parser.feed(bytes).expect("a command");
-        Rc::new(Query::parse(command.expect("whole"), config).expect("a read"))
+        Rc::new(Query::parse(command.expect("complete"), config).expect("a read"))
     }
 
     #[test]
-    fn a_request_has_one_answer_and_nothing_is_begun_for_it_afterwards() {
+    fn a_request_is_answered_once_and_no_attempt_is_sent_after_the_answer() {
         let config = crate::platform::config::tests::sample();
-        let (mut table, place) = (Table::default(), ReplySlot { client: 3, number: 9 });
-        let (told, until) = table.arrive(1, place, query(&config), 0, MS).expect("taken");
-        assert_eq!((told.remaining, until), (489 * MS, 490 * MS));
-        // Another one under the same id of its client is not taken while the first is open.
-        assert!(table.arrive(2, place, query(&config), 0, MS).is_none());
-        let first = table.begin(1, 7, 2, MS).expect("begun");
-        assert_eq!((first.number, first.over), (0, false));
-        table.carried(1, 0, 5);
+        let (mut table, slot) = (RequestTable::default(), ReplySlot { client: 3, number: 9 });
+        let (request, deadline) = table.arrive(1, slot, query(&config), 0, MS).expect("accepted");
+        assert_eq!((request.remaining, deadline), (489 * MS, 490 * MS));
+        // A second request with the same client id is not accepted while the first is open.
+        assert!(table.arrive(2, slot, query(&config), 0, MS).is_none());
+        let first = table.start_attempt(1, 7, 2, MS).expect("started");
+        assert_eq!((first.number, first.is_moot), (0, false));
+        table.set_connection(1, 0, 5);
         assert_eq!(table.attempt(1, 0).and_then(|a| a.connection), Some(5));
-        assert_eq!(table.answer(1), Some((place, 0)));
+        assert_eq!(table.answer(1), Some((slot, 0)));
         assert_eq!(table.answer(1), None);
-        assert!(!table.leave(1) && !table.waits(1) && !table.stranded(1));
-        assert!(table.begin(1, 7, 2, MS).is_some_and(|b| b.over));
+        assert!(!table.client_left(1) && !table.is_unanswered(1) && !table.is_orphaned(1));
+        assert!(table.start_attempt(1, 7, 2, MS).is_some_and(|a| a.is_moot));
         table.retire(1);
-        assert_eq!((table.len(), table.unanswered(), table.out(1)), (1, 0, vec![0, 1]));
-        assert!(table.end(1, 0).is_some() && table.end(1, 0).is_none() && table.end(1, 1).is_some());
+        assert_eq!((table.len(), table.unanswered(), table.open_attempts(1)), (1, 0, vec![0, 1]));
+        assert!(
+            table.end_attempt(1, 0).is_some()
+                && table.end_attempt(1, 0).is_none()
+                && table.end_attempt(1, 1).is_some()
+        );
         table.retire(1);
         assert_eq!(table.len(), 0);
-        assert!(table.arrive(2, place, query(&config), 0, MS).is_some());
+        assert!(table.arrive(2, slot, query(&config), 0, MS).is_some());
     }
 
     #[test]
-    fn neither_late_nor_too_many_nor_left_attempts_go_out() {
+    fn no_attempt_is_sent_after_the_deadline_over_the_limit_or_for_a_client_that_left() {
         let config = crate::platform::config::tests::sample();
-        let place = ReplySlot { client: 0, number: 0 };
-        let begin = |most: u32, now: Nanos, left: bool| {
-            let mut table = Table::default();
-            table.arrive(1, place, query(&config), 0, 0).expect("taken");
-            assert!(!left || table.leave(1));
-            let over = table.begin(1, 7, most, now).expect("begun").over;
-            assert!(!table.stranded(1) && table.end(1, 0).is_some());
-            (over, table.stranded(1))
+        let slot = ReplySlot { client: 0, number: 0 };
+        let start = |max_attempts: u32, now: Nanos, left: bool| {
+            let mut table = RequestTable::default();
+            table.arrive(1, slot, query(&config), 0, 0).expect("accepted");
+            assert!(!left || table.client_left(1));
+            let is_moot = table.start_attempt(1, 7, max_attempts, now).expect("started").is_moot;
+            assert!(!table.is_orphaned(1) && table.end_attempt(1, 0).is_some());
+            (is_moot, table.is_orphaned(1))
         };
-        assert_eq!(begin(1, 489 * MS, false), (false, false));
-        assert_eq!(begin(0, 0, false), (true, false));
-        assert_eq!(begin(1, 490 * MS, false), (true, false));
-        assert_eq!(begin(1, 0, true), (true, true));
+        assert_eq!(start(1, 489 * MS, false), (false, false));
+        assert_eq!(start(0, 0, false), (true, false));
+        assert_eq!(start(1, 490 * MS, false), (true, false));
+        assert_eq!(start(1, 0, true), (true, true));
     }
 }
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -1,14 +1,15 @@
-//! Copies of reads to candidates, boxes that are not in service yet. Which, when and how many is `shadow`'s to say; this
-//! holds the connections. Each carries one copy at a time and is closed at whatever is not the one answer that it waits
-//! for, so that no late one can pass for the next.
+//! Shadow traffic: copies of reads that are sent to candidates, boxes that are not in service yet. Crate `shadow`
+//! decides which reads are copied, when and how many; this module holds the connections. Each connection carries one
+//! copy at a time and is closed on anything but the one answer that it waits for, so that a late answer is never taken
+//! for that of the next copy.
 //!
-//! All of it comes last in a turn of the loop, when real answers and attempts have been written, and is no attempt of
-//! anything: the decision module, the boxes' figures and the clients never hear of it.
+//! All of this runs at the end of an iteration of the event loop, after live answers and attempts are written. A copy
+//! is not an attempt: the balancer, the metrics of the boxes and the clients are not affected by it.
 
 use crate::event_loop::Source;
 use crate::platform::config::Config;
 use crate::request::Query;
-use crate::timers::{Due, Timers};
+use crate::timers::{TimerEvent, Timers};
 use crate::{Proxy, MS};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -27,73 +28,54 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection that carried nothing for so long is closed.
-const IDLE: Nanos = 10_000 * MS;
-/// An answer may be so much longer than its value: note, load report and framing.
-const FRAME: usize = 4 << 10;
+/// A connection that carried nothing for this long is closed.
+const IDLE_TIMEOUT: Nanos = 10_000 * MS;
+/// How much longer than its value an answer may be: note, load report and framing.
+const MAX_ANSWER_OVERHEAD_BYTES: usize = 4 << 10;
+/// The shortest lease.
+const MIN_LEASE_MS: u64 = 1_000;
 /// The longest lease.
-const LONGEST_LEASE_MS: u64 = 24 * 3_600 * 1_000;
+const MAX_LEASE_MS: u64 = 24 * 3_600 * 1_000;
 
-/// What the operator's file allows, with what the configuration says.
+// ---- settings ----
+
+/// Combines the `[shadow]` section of the operator's file with the configuration.
 ///
 /// # Errors
-/// All keys that can't hold, a line each.
-pub fn settings(told: &operator::Shadow, config: &Config) -> Result<Settings, String> {
+/// One line for each key whose value is not valid with this configuration.
+pub fn settings(operator: &operator::Shadow, config: &Config) -> Result<Settings, String> {
     let mut faults = Vec::new();
-    let mut classes = vec![false; config.classes.len()];
-    for name in &told.classes {
-        match config.classes.iter().position(|c| c == name) {
-            None => faults.push(format!("shadow.classes: the settings have no category {name:?}")),
-            Some(at) if config.settings.classes[at].retry_safety != RetrySafety::Safe => {
-                faults.push(format!("shadow.classes: {name:?} is not safe to repeat"));
-            }
-            Some(at) => classes[at] = true,
-        }
-    }
-    let mut numbers = |key: &str, names: &[String]| -> Vec<u32> {
-        let number = |name: &String| {
-            let at = config.tenants.iter().position(|t| t == name);
-            if at.is_none() {
-                faults.push(format!("shadow.{key}: the settings have no customer {name:?}"));
-            }
-            at.map(|at| at as u32)
-        };
-        names.iter().filter_map(number).collect()
-    };
-    let tenants = match (&told.tenants, &told.except_tenants) {
-        (Some(only), _) => Tenants::Only(numbers("tenants", only)),
-        (None, Some(except)) => Tenants::Except(numbers("except_tenants", except)),
-        (None, None) => Tenants::All,
-    };
-    for (i, candidate) in told.candidates.iter().enumerate() {
-        let hosts = config.known.iter().flat_map(|k| &k.hosts);
-        if let Some(host) = hosts.into_iter().find(|h| h.dials.iter().any(|d| is(d, *candidate))) {
+    let classes = copied_classes(operator, config, &mut faults);
+    let tenants = copied_tenants(operator, config, &mut faults);
+    for (i, candidate) in operator.candidates.iter().enumerate() {
+        let mut hosts = config.known.iter().flat_map(|k| &k.hosts);
+        if let Some(host) = hosts.find(|h| h.dials.iter().any(|d| is_tcp_address(d, *candidate))) {
             faults.push(format!("shadow.candidates[{i}]: {candidate} is the live box {:?}", host.name));
         }
     }
-    let proxies = proxies(config);
+    let proxies = proxy_count_and_index(config);
     let parts = |share: f64| ((share * f64::from(WHOLE)) as u32).max(1);
     let settings = Settings {
         classes,
         tenants,
-        salt: told.salt,
-        parts: [parts(told.first_share), parts(told.share)],
-        step: told.step_seconds * 1_000 * MS,
-        copies: told.copies_per_second,
-        open: told.connections,
-        bytes: [told.answer_bytes, told.held_bytes],
-        cpu: told.cpu_share,
-        misses: told.misses_per_second,
+        salt: operator.salt,
+        parts: [parts(operator.first_share), parts(operator.share)],
+        step: operator.step_seconds * 1_000 * MS,
+        copies: operator.copies_per_second,
+        open: operator.connections,
+        bytes: [operator.answer_bytes, operator.held_bytes],
+        cpu: operator.cpu_share,
+        misses: operator.misses_per_second,
         proxies,
-        deadline: told.deadline_ms * MS,
-        tolerance: Tolerance { different: told.tolerated_different, slower: told.tolerated_slower },
-        stop_different: told.stop_different,
-        samples: told.samples,
+        deadline: operator.deadline_ms * MS,
+        tolerance: Tolerance { different: operator.tolerated_different, slower: operator.tolerated_slower },
+        stop_different: operator.stop_different,
+        samples: operator.samples,
     };
-    if told.misses_per_second < 2 * proxies[0] {
+    if operator.misses_per_second < 2 * proxies[0] {
         faults.push(format!(
             "shadow.misses_per_second: is {}; {} proxies need {} for one each",
-            told.misses_per_second,
+            operator.misses_per_second,
             proxies[0],
             2 * proxies[0]
         ));
@@ -105,90 +87,141 @@
     }
 }
 
-/// How many proxies there are, and which of them this is.
-fn proxies(config: &Config) -> [u32; 2] {
+/// Whether reads of each class are copied, by the index of the class.
+fn copied_classes(operator: &operator::Shadow, config: &Config, faults: &mut Vec<String>) -> Vec<bool> {
+    let mut classes = vec![false; config.classes.len()];
+    for name in &operator.classes {
+        match config.classes.iter().position(|c| c == name) {
+            None => faults.push(format!("shadow.classes: the settings have no category {name:?}")),
+            Some(index) if config.settings.classes[index].retry_safety != RetrySafety::Safe => {
+                faults.push(format!("shadow.classes: {name:?} is not safe to repeat"));
+            }
+            Some(index) => classes[index] = true,
+        }
+    }
+    classes
+}
+
+/// The tenants whose reads are copied.
+fn copied_tenants(operator: &operator::Shadow, config: &Config, faults: &mut Vec<String>) -> Tenants {
+    let mut indices = |key: &str, names: &[String]| -> Vec<u32> {
+        let index = |name: &String| {
+            let index = config.tenants.iter().position(|t| t == name);
+            if index.is_none() {
+                faults.push(format!("shadow.{key}: the settings have no customer {name:?}"));
+            }
+            index.map(|index| index as u32)
+        };
+        names.iter().filter_map(index).collect()
+    };
+    match (&operator.tenants, &operator.except_tenants) {
+        (Some(only), _) => Tenants::Only(indices("tenants", only)),
+        (None, Some(except)) => Tenants::Except(indices("except_tenants", except)),
+        (None, None) => Tenants::All,
+    }
+}
+
+/// The number of proxies, and this proxy's index among them.
+fn proxy_count_and_index(config: &Config) -> [u32; 2] {
     [config.settings.proxy_count.max(1), config.settings.proxy_index]
 }
 
-fn is(dial: &addresses::Address, candidate: SocketAddr) -> bool {
-    matches!(dial, addresses::Address::Tcp(at) if *at == candidate)
+fn is_tcp_address(address: &addresses::Address, candidate: SocketAddr) -> bool {
+    matches!(address, addresses::Address::Tcp(tcp) if *tcp == candidate)
 }
 
+// ---- connections to candidates ----
+
 /// A connection to a candidate.
 #[derive(Debug)]
-struct Link {
+struct Connection {
     candidate: u64,
     stream: TcpStream,
-    up: bool,
-    out: Vec<u8>,
+    connected: bool,
+    output: Vec<u8>,
     written: usize,
-    /// The copy that it carries, by its number, and when that was written whole.
+    /// The number of the copy that it carries, and when that was written in full.
     copy: Option<(u64, Option<Nanos>)>,
     parser: ReplyParser,
-    bytes: Vec<u8>,
-    /// When it last carried anything.
-    moved: Nanos,
+    reply_bytes: Vec<u8>,
+    /// When it last began or finished carrying a copy.
+    last_used: Nanos,
 }
 
-/// Copying, with its connections.
+/// The copying of reads, with its connections.
 #[derive(Debug)]
 pub struct ShadowTraffic {
     shadow: Shadow,
-    at: BTreeMap<u64, SocketAddr>,
-    /// Candidates that are, or since the last start were, boxes of the list.
-    live: BTreeSet<u64>,
-    links: Slab<Link>,
-    most: usize,
-    longest: usize,
-    /// Copies that were chosen in this turn.
-    chosen: Vec<(Copy, Rc<Query>)>,
-    /// Begins the ids of copies: no other proxy's, and no other process's, begin so.
-    prefix: String,
-    /// Requests served and refused when the live side was last looked at.
-    seen: [u64; 2],
+    /// The candidates' addresses by id.
+    addresses: BTreeMap<u64, SocketAddr>,
+    /// Candidates that are live boxes, or have been since copying was last started.
+    live_candidates: BTreeSet<u64>,
+    connections: Slab<Connection>,
+    max_connections: usize,
+    max_value_bytes: usize,
+    /// Copies chosen in this iteration of the event loop, to be sent at its end.
+    pending: Vec<(Copy, Rc<Query>)>,
+    /// The prefix of the request ids of copies, unique to this process among all proxies and their restarts.
+    id_prefix: String,
+    /// The counts of served and refused requests at the last sweep.
+    previous_counts: [u64; 2],
 }
 
 impl ShadowTraffic {
-    /// Nothing is copied before it is started.
-    pub fn new(told: &operator::Shadow, settings: Settings, config: &Config, kept: Kept, now: Nanos) -> Self {
-        let at: BTreeMap<u64, SocketAddr> =
-            told.candidates.iter().map(|a| (server_id(&a.to_string()), *a)).collect();
+    /// Nothing is copied until copying is started.
+    pub fn new(
+        operator: &operator::Shadow,
+        settings: Settings,
+        config: &Config,
+        kept: Kept,
+        now: Nanos,
+    ) -> Self {
+        let addresses: BTreeMap<u64, SocketAddr> =
+            operator.candidates.iter().map(|a| (server_id(&a.to_string()), *a)).collect();
         let mut shadow = Shadow::new(settings, kept, now);
-        shadow.candidates(at.keys().copied().collect(), now);
+        shadow.candidates(addresses.keys().copied().collect(), now);
         ShadowTraffic {
             shadow,
-            at,
-            live: BTreeSet::new(),
-            links: Slab::new(),
-            most: told.connections,
-            longest: told.answer_bytes,
-            chosen: Vec::new(),
-            prefix: format!("shadow-{:016x}-", server_id(&config.name) ^ now),
-            seen: [0; 2],
+            addresses,
+            live_candidates: BTreeSet::new(),
+            connections: Slab::new(),
+            max_connections: operator.connections,
+            max_value_bytes: operator.answer_bytes,
+            pending: Vec::new(),
+            id_prefix: format!("shadow-{:016x}-", server_id(&config.name) ^ now),
+            previous_counts: [0; 2],
         }
     }
 
-    /// A client writes this key, or has been answered.
-    pub fn wrote(&mut self, key: u64) {
+    /// Records that a client writes this key, both when the write arrives and when it is answered.
+    pub fn note_write(&mut self, key: u64) {
         self.shadow.wrote(key);
     }
 
-    /// There are so many proxies, and this is the one with this index.
+    /// Applies a changed number of proxies, or a changed index of this one.
     pub fn set_proxies(&mut self, config: &Config) {
-        let [all, this] = proxies(config);
-        self.shadow.proxies(all, this);
+        let [count, index] = proxy_count_and_index(config);
+        self.shadow.proxies(count, index);
     }
 
-    /// A live box served a read, and its client has the answer.
-    fn read(&mut self, query: &Rc<Query>, reply: &Reply, bytes: &[u8], took: Option<Nanos>, now: Nanos) {
+    /// Handles a read that a live box has served and whose client has its answer.
+    fn read_served(
+        &mut self,
+        query: &Rc<Query>,
+        reply: &Reply,
+        bytes: &[u8],
+        took: Option<Nanos>,
+        now: Nanos,
+    ) {
         let value = bytes.get(reply.value.clone()).unwrap_or_default();
-        let wanted = self.shadow.wants(query.class, query.tenant, query.key) && value.len() <= self.longest;
+        let wanted =
+            self.shadow.wants(query.class, query.tenant, query.key) && value.len() <= self.max_value_bytes;
         let live = if wanted { Side::Value(Digest::of(value)) } else { Side::Error };
-        self.observe(query, live, value.len(), reply.hit(), took, now);
+        self.choose_copy(query, live, value.len(), reply.hit(), took, now);
     }
 
-    /// The same, told to the choices.
-    fn observe(
+    /// Offers a served read for copying, and queues the copy if it is chosen.
+    fn choose_copy(
         &mut self,
         query: &Rc<Query>,
         live: Side,
@@ -199,201 +232,207 @@
     ) {
         let (class, tenant, key) = (query.class, query.tenant, query.key);
         if let Some(copy) = self.shadow.read(&Read { class, tenant, key, live, length, hit, took }, now) {
-            self.chosen.push((copy, query.clone()));
+            self.pending.push((copy, query.clone()));
         }
     }
 
-    // ---- connections ----
-
-    /// Sends what was chosen. The times are up then.
-    fn send(&mut self, registry: &Registry, timers: &mut Timers, now: Nanos) {
-        for (copy, query) in std::mem::take(&mut self.chosen) {
-            let Some(key) = self.link(copy.candidate, registry, now) else {
-                self.ended(copy.number, Side::Error, None, 0, now);
+    /// Sends the chosen copies and sets their time-outs.
+    fn send_pending(&mut self, registry: &Registry, timers: &mut Timers, now: Nanos) {
+        for (copy, query) in std::mem::take(&mut self.pending) {
+            let Some(key) = self.idle_connection(copy.candidate, registry, now) else {
+                self.copy_ended(copy.number, Side::Error, None, 0, now);
                 continue;
             };
-            let link = &mut self.links[key];
-            link.out.clear();
-            let id = format!("{}{:x}", self.prefix, copy.number);
-            query.encode_as(id.as_bytes(), (copy.until.saturating_sub(now) / MS).max(1), &mut link.out);
-            (link.written, link.copy, link.moved) = (0, Some((copy.number, None)), now);
-            timers.set(copy.until, Due::Copy(copy.number));
-            if link.up {
-                self.write(key, now);
+            let connection = &mut self.connections[key];
+            connection.output.clear();
+            let id = format!("{}{:x}", self.id_prefix, copy.number);
+            let timeout_ms = (copy.until.saturating_sub(now) / MS).max(1);
+            query.encode_with_id(id.as_bytes(), timeout_ms, &mut connection.output);
+            (connection.written, connection.copy) = (0, Some((copy.number, None)));
+            connection.last_used = now;
+            timers.set(copy.until, TimerEvent::ShadowTimeout(copy.number));
+            if connection.connected {
+                self.flush(key, now);
             }
         }
     }
 
-    /// A connection to a candidate that carries nothing, a new one if need be.
-    fn link(&mut self, candidate: u64, registry: &Registry, now: Nanos) -> Option<usize> {
-        let free = |(_, l): &(usize, &Link)| l.copy.is_none();
-        let own = self.links.iter().filter(free).find(|(_, l)| l.candidate == candidate).map(|(key, _)| key);
-        if own.is_some() {
-            return own;
+    /// An idle connection to a candidate, opened if there is none. At the limit, the connection to another candidate that
+    /// has been idle longest is closed for it.
+    fn idle_connection(&mut self, candidate: u64, registry: &Registry, now: Nanos) -> Option<usize> {
+        let is_idle = |(_, c): &(usize, &Connection)| c.copy.is_none();
+        let mut idle = self.connections.iter().filter(is_idle);
+        let existing = idle.find(|(_, c)| c.candidate == candidate).map(|(key, _)| key);
+        if existing.is_some() {
+            return existing;
         }
-        if self.links.len() >= self.most {
-            let (idle, _) = self.links.iter().filter(free).min_by_key(|(_, l)| l.moved)?;
-            self.links.remove(idle);
+        if self.connections.len() >= self.max_connections {
+            let (oldest, _) = self.connections.iter().filter(is_idle).min_by_key(|(_, c)| c.last_used)?;
+            self.connections.remove(oldest);
         }
-        let mut stream = TcpStream::connect(*self.at.get(&candidate)?).ok()?;
+        let mut stream = TcpStream::connect(*self.addresses.get(&candidate)?).ok()?;
         let _ = stream.set_nodelay(true);
-        let entry = self.links.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let token = Source::ShadowConnection(entry.key()).token();
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).ok()?;
         let key = entry.key();
-        entry.insert(Link {
+        entry.insert(Connection {
             candidate,
             stream,
-            up: false,
-            out: Vec::new(),
+            connected: false,
+            output: Vec::new(),
             written: 0,
             copy: None,
             parser: ReplyParser::default(),
-            bytes: Vec::new(),
-            moved: now,
+            reply_bytes: Vec::new(),
+            last_used: now,
         });
         Some(key)
     }
 
-    /// Writes what the socket takes.
-    fn write(&mut self, key: usize, now: Nanos) {
-        while let Some(link) = self.links.get_mut(key).filter(|l| l.written < l.out.len()) {
-            match link.stream.write(&link.out[link.written..]) {
+    /// Writes as much of the output as the socket accepts.
+    fn flush(&mut self, key: usize, now: Nanos) {
+        while let Some(c) = self.connections.get_mut(key).filter(|c| c.written < c.output.len()) {
+            match c.stream.write(&c.output[c.written..]) {
                 Ok(n) => {
-                    link.written += n;
-                    if let Some((_, whole)) = link.copy.as_mut().filter(|_| link.written == link.out.len()) {
-                        *whole = Some(now);
+                    c.written += n;
+                    if let Some((_, written_at)) = c.copy.as_mut().filter(|_| c.written == c.output.len()) {
+                        *written_at = Some(now);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.lost(key, Side::Error, now),
+                Err(_) => return self.close(key, Side::Error, now),
             }
         }
     }
 
-    /// A connection can be read from or written to.
+    /// Handles a connection that is readable or writable.
     fn ready(&mut self, key: usize, buffer: &mut [u8], now: Nanos) {
-        let Some(link) = self.links.get_mut(key) else { return };
-        if !link.up {
-            match (link.stream.take_error(), link.stream.peer_addr()) {
-                (Ok(None), Ok(_)) => link.up = true,
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if !connection.connected {
+            match (connection.stream.take_error(), connection.stream.peer_addr()) {
+                (Ok(None), Ok(_)) => connection.connected = true,
                 (Ok(None), Err(e)) if e.kind() == io::ErrorKind::NotConnected => return,
-                _ => return self.lost(key, Side::Error, now),
+                _ => return self.close(key, Side::Error, now),
             }
         }
-        self.write(key, now);
-        while let Some(link) = self.links.get_mut(key) {
-            match link.stream.read(buffer) {
-                Ok(0) => return self.lost(key, Side::Error, now),
-                Ok(n) => self.take(key, &buffer[..n], now),
+        self.flush(key, now);
+        while let Some(connection) = self.connections.get_mut(key) {
+            match connection.stream.read(buffer) {
+                Ok(0) => return self.close(key, Side::Error, now),
+                Ok(n) => self.receive(key, &buffer[..n], now),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.lost(key, Side::Error, now),
+                Err(_) => return self.close(key, Side::Error, now),
             }
         }
     }
 
-    /// Something came on a connection.
-    fn take(&mut self, key: usize, input: &[u8], now: Nanos) {
-        let Some(link) = self.links.get_mut(key) else { return };
-        let most = self.longest + FRAME;
-        // What nobody asked for, and what is too long to be compared, ends the connection.
-        let Some((number, Some(whole))) = link.copy.filter(|_| link.bytes.len() + input.len() <= most) else {
-            return self.lost(key, Side::Error, now);
+    /// Handles input on a connection.
+    fn receive(&mut self, key: usize, input: &[u8], now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let max_bytes = self.max_value_bytes + MAX_ANSWER_OVERHEAD_BYTES;
+        // Unsolicited bytes, and an answer that is too long to be compared, close the connection.
+        let fits = c.reply_bytes.len() + input.len() <= max_bytes;
+        let Some((number, Some(written_at))) = c.copy.filter(|_| fits) else {
+            return self.close(key, Side::Error, now);
         };
-        link.bytes.extend_from_slice(input);
-        let Ok((used, reply)) = link.parser.feed(input) else { return self.lost(key, Side::Error, now) };
-        let long = link.parser.take_part(reply.as_ref()).is_some();
+        c.reply_bytes.extend_from_slice(input);
+        let Ok((used, reply)) = c.parser.feed(input) else { return self.close(key, Side::Error, now) };
+        let is_long = c.parser.take_part(reply.as_ref()).is_some();
         let Some(reply) = reply else { return };
-        let value = link.bytes.get(reply.value.clone()).unwrap_or_default();
+        let value = c.reply_bytes.get(reply.value.clone()).unwrap_or_default();
         let side = match reply.kind {
-            _ if long || value.len() > self.longest || used < input.len() => Side::Error,
+            _ if is_long || value.len() > self.max_value_bytes || used < input.len() => Side::Error,
             Kind::Served => Side::Value(Digest::of(value)),
             Kind::Busy => Side::Busy,
-            Kind::Failed if link.bytes.first() == Some(&b'*') => Side::Missing,
+            Kind::Failed if c.reply_bytes.first() == Some(&b'*') => Side::Missing,
             Kind::Failed => Side::Error,
         };
-        (link.copy, link.moved) = (None, now);
-        link.bytes.clear();
-        if long || used < input.len() {
-            self.links.remove(key);
+        (c.copy, c.last_used) = (None, now);
+        c.reply_bytes.clear();
+        if is_long || used < input.len() {
+            self.connections.remove(key);
         }
-        self.ended(number, side, reply.hit(), now.saturating_sub(whole), now);
+        self.copy_ended(number, side, reply.hit(), now.saturating_sub(written_at), now);
     }
 
-    /// A connection is of no more use; what it carried ended so.
-    fn lost(&mut self, key: usize, side: Side, now: Nanos) {
-        if let Some((number, _)) = self.links.try_remove(key).and_then(|l| l.copy) {
-            self.ended(number, side, None, 0, now);
+    /// Closes a connection. The copy that it carried, if any, ends with this result.
+    fn close(&mut self, key: usize, side: Side, now: Nanos) {
+        if let Some((number, _)) = self.connections.try_remove(key).and_then(|c| c.copy) {
+            self.copy_ended(number, side, None, 0, now);
         }
     }
 
-    fn ended(&mut self, number: u64, side: Side, hit: Option<bool>, took: Nanos, now: Nanos) {
-        let off = self.shadow.ended(number, Ended { side, hit, took }, now);
-        self.call_off(&off);
+    fn copy_ended(&mut self, number: u64, side: Side, hit: Option<bool>, took: Nanos, now: Nanos) {
+        let cancelled = self.shadow.ended(number, Ended { side, hit, took }, now);
+        self.cancel(&cancelled);
     }
 
-    /// A copy's time is up.
-    pub fn overdue(&mut self, number: u64, now: Nanos) {
-        let carries = |(_, l): &(usize, &Link)| l.copy.is_some_and(|(n, _)| n == number);
-        if let Some((key, _)) = self.links.iter().find(carries) {
-            self.lost(key, Side::Late, now);
+    /// Handles the time-out of a copy.
+    pub fn copy_timeout(&mut self, number: u64, now: Nanos) {
+        let carries = |(_, c): &(usize, &Connection)| c.copy.is_some_and(|(n, _)| n == number);
+        if let Some((key, _)) = self.connections.iter().find(carries) {
+            self.close(key, Side::Late, now);
         }
     }
 
-    fn call_off(&mut self, numbers: &[u64]) {
+    /// Cancels copies, and closes the connections that carry them.
+    fn cancel(&mut self, numbers: &[u64]) {
         if !numbers.is_empty() {
-            self.links.retain(|_, l| l.copy.is_none_or(|(n, _)| !numbers.contains(&n)));
-            self.chosen.retain(|(copy, _)| !numbers.contains(&copy.number));
+            self.connections.retain(|_, c| c.copy.is_none_or(|(n, _)| !numbers.contains(&n)));
+            self.pending.retain(|(copy, _)| !numbers.contains(&copy.number));
         }
     }
 
-    // ---- what else it is told ----
+    // ---- candidates ----
 
-    /// Some of the candidates are boxes of the list: they are none until copying is started anew.
-    fn listed(&mut self, is_live: impl Fn(SocketAddr) -> bool, now: Nanos) {
-        let joined: Vec<u64> = self.at.iter().filter(|(_, at)| is_live(**at)).map(|(id, _)| *id).collect();
-        if joined.iter().all(|id| self.live.contains(id)) {
+    /// Excludes candidates that have become live boxes, until copying is started again.
+    fn exclude_live(&mut self, is_live: impl Fn(SocketAddr) -> bool, now: Nanos) {
+        let live = self.addresses.iter().filter(|(_, address)| is_live(**address));
+        let live: Vec<u64> = live.map(|(id, _)| *id).collect();
+        if live.iter().all(|id| self.live_candidates.contains(id)) {
             return;
         }
-        self.live.extend(joined);
-        self.choose(now);
+        self.live_candidates.extend(live);
+        self.apply_candidates(now);
     }
 
-    fn choose(&mut self, now: Nanos) {
-        let ids = self.at.keys().copied().filter(|id| !self.live.contains(id)).collect();
-        let off = self.shadow.candidates(ids, now);
-        self.call_off(&off);
-        let live = &self.live;
-        self.links.retain(|_, l| !live.contains(&l.candidate));
+    fn apply_candidates(&mut self, now: Nanos) {
+        let ids = self.addresses.keys().copied().filter(|id| !self.live_candidates.contains(id)).collect();
+        let cancelled = self.shadow.candidates(ids, now);
+        self.cancel(&cancelled);
+        let live = &self.live_candidates;
+        self.connections.retain(|_, c| !live.contains(&c.candidate));
     }
 
-    /// The live side is so; closes what has been idle for too long.
-    fn sweep(&mut self, mut vitals: Vitals, counted: [u64; 2], now: Nanos) {
-        let before = std::mem::replace(&mut self.seen, counted);
-        [vitals.served, vitals.refused] = [0, 1].map(|i| (counted[i] - before[i]) as u32);
-        let off = self.shadow.look(&vitals, now);
-        self.call_off(&off);
-        self.links.retain(|_, l| l.copy.is_some() || now.saturating_sub(l.moved) < IDLE);
+    /// Passes on the load of the live side, with `counts` of served and refused requests since the start, and closes
+    /// idle connections.
+    fn sweep(&mut self, mut load: Vitals, counts: [u64; 2], now: Nanos) {
+        let previous = std::mem::replace(&mut self.previous_counts, counts);
+        [load.served, load.refused] = [0, 1].map(|i| (counts[i] - previous[i]) as u32);
+        let cancelled = self.shadow.look(&load, now);
+        self.cancel(&cancelled);
+        self.connections.retain(|_, c| c.copy.is_some() || now.saturating_sub(c.last_used) < IDLE_TIMEOUT);
     }
 
-    // ---- orders ----
+    // ---- commands from the control endpoint ----
 
-    /// Starts copying, or prolongs it.
+    /// Starts copying, or extends its lease.
     ///
     /// # Errors
-    /// The lease makes no sense, or the order is not to be carried out any more.
+    /// The lease is out of range, or the generation is outdated.
     pub fn start(&mut self, generation: u64, lease_ms: u64, now: Nanos) -> Result<(), Error> {
-        if !(1_000..=LONGEST_LEASE_MS).contains(&lease_ms) {
-            let message = format!("lease_ms is {lease_ms}; 1000 to {LONGEST_LEASE_MS} is allowed");
+        if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&lease_ms) {
+            let message = format!("lease_ms is {lease_ms}; {MIN_LEASE_MS} to {MAX_LEASE_MS} is allowed");
             return Err(Error::new(Code::BadRequest, message));
         }
-        let newer = generation > self.shadow.kept().generation;
-        self.shadow.start(generation, lease_ms * MS, now).map_err(refused)?;
-        if newer {
-            self.live.clear();
-            self.choose(now);
+        let is_newer = generation > self.shadow.kept().generation;
+        self.shadow.start(generation, lease_ms * MS, now).map_err(refusal)?;
+        if is_newer {
+            self.live_candidates.clear();
+            self.apply_candidates(now);
         }
         Ok(())
     }
@@ -401,15 +440,15 @@
     /// Stops copying.
     ///
     /// # Errors
-    /// The order is not to be carried out any more.
+    /// The generation is outdated.
     pub fn stop(&mut self, generation: u64, now: Nanos) -> Result<(), Error> {
-        let off = self.shadow.stop(generation, now).map_err(refused)?;
-        self.call_off(&off);
-        self.links.clear();
+        let cancelled = self.shadow.stop(generation, now).map_err(refusal)?;
+        self.cancel(&cancelled);
+        self.connections.clear();
         Ok(())
     }
 
-    /// How it stands, and what the copies show.
+    /// The status of copying, and the results of comparing the answers.
     pub fn copying(&self, classes: &[String]) -> Copying {
         let name = |class: &u32| classes.get(*class as usize).cloned().unwrap_or_default();
         Copying {
@@ -426,10 +465,10 @@
     }
 }
 
-fn refused(why: Refused) -> Error {
-    match why {
-        Refused::Stale(now) => {
-            Error::new(Code::Stale, format!("generation {now} of the copying is in force"))
+fn refusal(reason: Refused) -> Error {
+    match reason {
+        Refused::Stale(current) => {
+            Error::new(Code::Stale, format!("generation {current} of the copying is in force"))
         }
         Refused::Stopped(stop) => Error::new(
             Code::Stale,
@@ -438,89 +477,90 @@
     }
 }
 
+// ---- the proxy's side ----
+
 impl Proxy {
-    /// What a request asked that is about to be answered, where copying has to hear of it.
-    pub(crate) fn copied(&self, id: RequestId) -> Option<Rc<Query>> {
-        self.shadow_traffic
-            .as_ref()
-            .filter(|c| c.shadow.is_on())
-            .and_then(|_| self.requests.asked(id).cloned())
-    }
-
-    /// A live box served a request, and its client has the answer.
-    pub(crate) fn served(&mut self, query: &Rc<Query>, reply: &Reply, bytes: &[u8], took: Option<Nanos>) {
-        let begun = self.event_loop.clock.now();
-        let Some(copies) = &mut self.shadow_traffic else { return };
+    /// The command of a request that is about to be answered, if copying needs to know of the answer.
+    pub(crate) fn query_to_shadow(&self, id: RequestId) -> Option<Rc<Query>> {
+        let shadow_traffic = self.shadow_traffic.as_ref().filter(|s| s.shadow.is_on());
+        shadow_traffic.and_then(|_| self.requests.unanswered_query(id).cloned())
+    }
+
+    /// Handles a request that a live box has served and whose client has its answer.
+    pub(crate) fn shadow_served(
+        &mut self,
+        query: &Rc<Query>,
+        reply: &Reply,
+        bytes: &[u8],
+        took: Option<Nanos>,
+    ) {
+        let started = self.event_loop.clock.now();
+        let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
         if query.write {
-            copies.wrote(query.key);
+            shadow_traffic.note_write(query.key);
             return;
         }
-        copies.read(query, reply, bytes, took, self.event_loop.now);
-        copies.shadow.worked(self.event_loop.clock.now().saturating_sub(begun), self.event_loop.now);
-    }
-
-    /// A live box begins to serve a long value. It is passed on as it comes, so that it can't be compared.
-    pub(crate) fn serves_long(&mut self, query: &Rc<Query>, length: usize) {
-        if let Some(copies) = self.shadow_traffic.as_mut().filter(|_| !query.write) {
-            copies.observe(
-                query,
-                Side::Error,
-                length.max(copies.longest + 1),
-                None,
-                None,
-                self.event_loop.now,
-            );
+        let now = self.event_loop.now;
+        shadow_traffic.read_served(query, reply, bytes, took, now);
+        shadow_traffic.shadow.worked(self.event_loop.clock.now().saturating_sub(started), now);
+    }
+
+    /// Handles a long value that a live box begins to serve. It is streamed to the client, so it cannot be compared.
+    pub(crate) fn shadow_long_value(&mut self, query: &Rc<Query>, length: usize) {
+        if let Some(shadow_traffic) = self.shadow_traffic.as_mut().filter(|_| !query.write) {
+            let length = length.max(shadow_traffic.max_value_bytes + 1);
+            shadow_traffic.choose_copy(query, Side::Error, length, None, None, self.event_loop.now);
         }
     }
 
-    /// Works for copies: the last thing in a turn.
+    /// Reads answers from candidates and sends the chosen copies, at the end of an iteration of the event loop.
     pub(crate) fn run_shadow_traffic(&mut self, events: &Events) {
-        let Some(copies) = &mut self.shadow_traffic else { return };
-        let woken = || {
-            let candidate =
-                |source| if let Source::ShadowConnection(key) = source { Some(key) } else { None };
-            events.iter().filter_map(move |e| candidate(Source::of(e)))
+        let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
+        let ready_connections = || {
+            let key = |source| if let Source::ShadowConnection(key) = source { Some(key) } else { None };
+            events.iter().filter_map(move |e| key(Source::of(e)))
         };
-        if copies.chosen.is_empty() && woken().next().is_none() {
+        if shadow_traffic.pending.is_empty() && ready_connections().next().is_none() {
             return;
         }
-        self.event_loop.tick();
-        let begun = self.event_loop.now;
-        for key in woken() {
-            copies.ready(key, &mut self.buffer, self.event_loop.now);
+        self.event_loop.update_now();
+        let started = self.event_loop.now;
+        for key in ready_connections() {
+            shadow_traffic.ready(key, &mut self.buffer, started);
         }
-        let (registry, timers) = self.event_loop.parts();
-        copies.send(registry, timers, begun);
+        let (registry, timers) = self.event_loop.registry_and_timers();
+        shadow_traffic.send_pending(registry, timers, started);
         let now = self.event_loop.clock.now();
-        copies.shadow.worked(now.saturating_sub(begun), now);
+        shadow_traffic.shadow.worked(now.saturating_sub(started), now);
     }
 
-    /// Boxes have come or gone.
+    /// Excludes candidates that are live boxes, after the list of boxes has changed.
     pub(crate) fn update_candidates(&mut self) {
-        if let Some(copies) = &mut self.shadow_traffic {
-            copies.listed(|at| self.boxes.has_address(|dial| is(dial, at)), self.event_loop.now);
+        if let Some(shadow_traffic) = &mut self.shadow_traffic {
+            let is_live = |candidate| self.boxes.has_address(|address| is_tcp_address(address, candidate));
+            shadow_traffic.exclude_live(is_live, self.event_loop.now);
         }
     }
 
-    /// Looks at the live side on behalf of copying; the loop was so late for it.
-    pub(crate) fn sweep_shadow_traffic(&mut self, late: Nanos) {
-        let Some(copies) = &mut self.shadow_traffic else { return };
+    /// Reports the load of the live side to copying; `loop_delay` is how late the event loop was for the sweep.
+    pub(crate) fn sweep_shadow_traffic(&mut self, loop_delay: Nanos) {
+        let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
         let counters = self.observers.counters;
-        let room = self.config.max_open;
-        let vitals = Vitals { loop_delay: late, open: self.requests.len(), room, ..Vitals::default() };
-        copies.sweep(vitals, [counters.served, counters.refused], self.event_loop.now);
+        let (open, room) = (self.requests.len(), self.config.max_open);
+        let load = Vitals { loop_delay, open, room, ..Vitals::default() };
+        shadow_traffic.sweep(load, [counters.served, counters.refused], self.event_loop.now);
         self.persist_shadow_state();
     }
 
-    /// Keeps what has to outlive the process, where that has changed.
+    /// Writes the part of the state that must survive a restart, if it has changed.
     pub(crate) fn persist_shadow_state(&mut self) {
-        let Some(copies) = &self.shadow_traffic else { return };
-        let kept = copies.shadow.kept();
+        let Some(shadow_traffic) = &self.shadow_traffic else { return };
+        let kept = shadow_traffic.shadow.kept();
         if kept != self.persisted.state.shadow {
             let state = State { shadow: kept, ..self.persisted.state.clone() };
             if let Err(e) = self.persisted.store(state) {
-                eprintln!("shadow: {e}");
-                // What stands in memory is what counts; the file is tried again with the next change.
+                eprintln!("shadow: state not saved: {e}");
+                // The state in memory is authoritative; the file is written again with the next change.
                 self.persisted.state.shadow = kept;
             }
             self.change_count += 1;
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -1,79 +1,80 @@
-//! Long values, passed on to their clients while they come. Such a request is answered when the first part has
-//! gone to its client: for the module it is over then, and nothing else can be sent to the client in its place.
+//! Streaming of long values from a cache node to the client. The request counts as answered once the value's first part
+//! has gone to its client: from then on it is over for the balancer, and no other answer can replace it.
 //!
-//! Guards against values that are longer than memory: no more of one is read than its client takes, and a node
-//! that is held up by a slow client is held up by the kernel. Danger: a value that breaks off ends its client's
-//! connection, since that is how a client can tell that it is not whole, and so ends what is pipelined behind it.
+//! Streaming bounds memory for values of any length: no more is read from the node than the client accepts, so that a
+//! slow client holds up the node through TCP flow control. When a value breaks off, the client's connection has to be
+//! closed, because a client has no other way to tell that the value is incomplete; the requests pipelined behind it
+//! end with the connection.
 
-use crate::observers::{Final, Told};
+use crate::observers::{FinalResult, Notification};
 use crate::request::ReplySlot;
 use crate::Proxy;
 use calicosaddle::api::RequestId;
 use resp::{Reply, Shape};
 use rustc_hash::FxHashMap;
 
-/// A value on its way.
+/// A value that is being streamed.
 #[derive(Debug)]
-struct Value {
-    place: ReplySlot,
+struct StreamedValue {
+    slot: ReplySlot,
     class: u32,
-    /// The connection that it comes on.
-    from: usize,
+    /// The node connection that it arrives on.
+    connection: usize,
 }
 
-/// All values on their way.
+/// All values that are being streamed.
 #[derive(Debug, Default)]
-pub struct StreamedValues(FxHashMap<RequestId, Value>);
+pub struct StreamedValues(FxHashMap<RequestId, StreamedValue>);
 
 impl StreamedValues {
-    /// How many there are.
+    /// The number of values being streamed.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 }
 
 impl Proxy {
-    /// A value begins to come on a connection to a cache node. If its request is answered already, what comes is
-    /// dropped.
-    pub(crate) fn begun(&mut self, id: RequestId, from: usize, shape: Shape, length: usize) {
-        let Some((place, class)) = self.requests.answer(id) else { return };
-        self.clients.begin(place, shape, length);
-        self.streamed_values.0.insert(id, Value { place, class, from });
+    /// Begins to stream a value that starts to arrive on a node connection. If its request is already answered, the
+    /// value is dropped as it arrives.
+    pub(crate) fn start_stream(&mut self, id: RequestId, connection: usize, shape: Shape, length: usize) {
+        let Some((slot, class)) = self.requests.answer(id) else { return };
+        self.clients.begin(slot, shape, length);
+        self.streamed_values.0.insert(id, StreamedValue { slot, class, connection });
     }
 
-    /// A part of it has come.
-    pub(crate) fn passed(&mut self, id: RequestId, bytes: &[u8]) {
+    /// Forwards a part of a value, and stops reading from the node if the client cannot take more.
+    pub(crate) fn forward_part(&mut self, id: RequestId, bytes: &[u8]) {
         let Some(value) = self.streamed_values.0.get(&id) else { return };
-        if !self.clients.pass(value.place, bytes) {
-            self.boxes.pause(value.from, id, true, self.event_loop.now);
+        if !self.clients.pass(value.slot, bytes) {
+            self.boxes.pause(value.connection, id, true, self.event_loop.now);
         }
     }
 
-    /// Its client has room for more.
-    pub(crate) fn wanted(&mut self, id: RequestId) {
+    /// Resumes reading from the node once the client can take more.
+    pub(crate) fn resume_stream(&mut self, id: RequestId) {
         if let Some(value) = self.streamed_values.0.get(&id) {
-            self.boxes.pause(value.from, id, false, self.event_loop.now);
+            self.boxes.pause(value.connection, id, false, self.event_loop.now);
         }
     }
 
-    /// It is whole.
-    pub(crate) fn passed_whole(&mut self, id: RequestId, reply: &Reply) {
+    /// Completes a value that has arrived in full.
+    pub(crate) fn finish_stream(&mut self, id: RequestId, reply: &Reply) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
-        self.observers.tell(Told::Answered(Final::Served, value.class));
-        self.clients.finish(value.place, reply);
+        self.observers.notify(Notification::Answered(FinalResult::Served, value.class));
+        self.clients.finish(value.slot, reply);
     }
 
-    /// Its node broke it off.
-    pub(crate) fn cut(&mut self, id: RequestId) {
+    /// Closes the client's connection after its value broke off at the node.
+    pub(crate) fn abort_stream(&mut self, id: RequestId) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
-        self.observers.tell(Told::Answered(Final::Failed, value.class));
-        self.clients.cut(value.place);
+        self.observers.notify(Notification::Answered(FinalResult::Failed, value.class));
+        self.clients.cut(value.slot);
     }
 
-    /// Its client is gone.
-    pub(crate) fn no_longer_wanted(&mut self, id: RequestId) {
+    /// Stops streaming a value whose client has disconnected.
+    pub(crate) fn cancel_stream(&mut self, id: RequestId) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
-        self.observers.tell(Told::Abandoned);
-        self.boxes.stop_passing(value.from, id);
+        self.observers.notify(Notification::Abandoned);
+        self.boxes.stop_passing(value.connection, id);
     }
 }
--- a/crates/proxy/src/timers.rs
+++ b/crates/proxy/src/timers.rs
@@ -1,53 +1,53 @@
-//! What is due when: deadlines of requests and attempts, and the timers of the module.
+//! The proxy's timers: request deadlines, attempt and connection time-outs, and the balancer's own timers.
 
 use calicosaddle::api::{Nanos, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What falls due.
+/// What to do when a timer expires. Timers that expire at the same time fire in the order of this enumeration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// A timer of the module, by its token.
-    Module(u64),
-    /// A request's time is up.
-    Deadline(RequestId),
-    /// An attempt's own time-out, shorter than its request's.
-    Attempt(RequestId, u32),
-    /// A connection to a cache node that is not yet up, by its key and serial number.
-    Connect(usize, u64),
-    /// The same connection may be tried over another address as well.
-    Stagger(usize, u64),
-    /// A copy's time is up, by its number.
-    Copy(u64),
-    /// The round over all connections, for what waits too long.
+pub enum TimerEvent {
+    /// A timer that the balancer asked for, by its token.
+    Balancer(u64),
+    /// The client's time for a request is up.
+    RequestDeadline(RequestId),
+    /// An attempt's own time-out, shorter than the request's deadline.
+    AttemptTimeout(RequestId, u32),
+    /// A connection to a cache node, by its key and serial number, must be established by now.
+    ConnectTimeout(usize, u64),
+    /// The same connection may now be tried over another address as well (the Connection Attempt Delay of RFC 8305).
+    ConnectionAttemptDelay(usize, u64),
+    /// The time-out of a copied read, by the copy's number.
+    ShadowTimeout(u64),
+    /// The periodic check of all connections for those that have waited too long.
     Sweep,
-    /// The listener after it ran out of descriptors.
-    Accept,
+    /// Accepting resumes after descriptors ran out.
+    ResumeAccept,
 }
 
-/// Timers in the order in which they fall due. None can be taken back: what is over is passed by when it
-/// comes up, so the table holds no more than was begun within the longest deadline.
+/// Timers ordered by expiry. They cannot be cancelled: whoever handles an event ignores it if it no longer applies,
+/// so the heap holds no more than was set within the longest deadline.
 #[derive(Debug, Default)]
 pub struct Timers {
-    heap: BinaryHeap<Reverse<(Nanos, Due)>>,
+    heap: BinaryHeap<Reverse<(Nanos, TimerEvent)>>,
 }
 
 impl Timers {
-    /// Sets a timer.
-    pub fn set(&mut self, at: Nanos, due: Due) {
-        self.heap.push(Reverse((at, due)));
+    /// Sets a timer that expires at `at`.
+    pub fn set(&mut self, at: Nanos, event: TimerEvent) {
+        self.heap.push(Reverse((at, event)));
     }
 
-    /// When the next timer falls due.
-    pub fn next(&self) -> Option<Nanos> {
+    /// The expiry of the earliest timer.
+    pub fn next_expiry(&self) -> Option<Nanos> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes out a timer that has fallen due.
-    pub fn pop(&mut self, now: Nanos) -> Option<Due> {
-        if self.next()? > now {
+    /// Removes the earliest timer if it has expired.
+    pub fn pop_expired(&mut self, now: Nanos) -> Option<TimerEvent> {
+        if self.next_expiry()? > now {
             return None;
         }
-        self.heap.pop().map(|Reverse((_, due))| due)
+        self.heap.pop().map(|Reverse((_, event))| event)
     }
 }
