--- a/crates/calicosaddle/src/api.rs
+++ b/crates/calicosaddle/src/api.rs
@@ -83,7 +83,7 @@
     pub proxy_count: u32,
     /// Index of this proxy.
     pub proxy_index: u32,
-    /// The server list must be polled; otherwise it is pushed.
+    /// The server list must be asked for, by a subscription or polls; otherwise it is pushed.
     pub poll_discovery: bool,
     /// Cache nodes answer a miss as such, and the proxy asks the origin, which is listed as servers of a machine kind
     /// of its own.
--- a/crates/calicosaddle/src/balancer/admission.rs
+++ b/crates/calicosaddle/src/balancer/admission.rs
@@ -15,6 +15,18 @@
 const UPDATE_INTERVAL: Nanos = 250 * MS;
 /// Least admitted fraction.
 const MIN_ADMITTED_FRACTION: f64 = 0.03;
+/// Requests served in time that are assumed beside the recent ones, so that a few results do not decide.
+const PRIOR_IN_TIME: f64 = 2.0;
+/// What a cut leaves of the admitted fraction.
+const CUT_FACTOR: f64 = 0.5;
+/// A cut lowers the ceiling too if the admitted fraction exceeded this part of it.
+const NEAR_CEILING: f64 = 0.9;
+/// The new ceiling, as a part of the admitted fraction that failed.
+const CEILING_FACTOR: f64 = 0.85;
+/// Growth of the admitted fraction per update: factor and step up to the ceiling, and step above it.
+const QUICK_GROWTH_FACTOR: f64 = 1.2;
+const QUICK_GROWTH_STEP: f64 = 0.01;
+const SLOW_GROWTH_STEP: f64 = 0.005;
 
 /// Admission of one kind of traffic: likely hits, or all other requests.
 #[derive(Clone, Copy, Default)]
@@ -23,7 +35,7 @@
     ended: f64,
     in_time: f64,
     pub(super) admitted_fraction: f64,
-    /// The fraction above which the last increase failed.
+    /// The admitted fraction grows quickly up to here, and slowly above, where it failed last.
     ceiling: f64,
     /// When the fraction was last cut.
     cut_at: Nanos,
@@ -50,19 +62,21 @@
         let keep = (-(elapsed as f64) / (ADMISSION_MEMORY_S * SECOND as f64)).exp();
         self.recent_successes *= keep;
         for (control, min_ratio) in self.admission.iter_mut().zip(MIN_IN_TIME_RATIO) {
-            let ratio = (control.in_time + 2.0) / (control.ended + 2.0);
+            let ratio = (control.in_time + PRIOR_IN_TIME) / (control.ended + PRIOR_IN_TIME);
             if ratio < min_ratio {
                 // Cut once, then judge only what was sent since the cut. If the fraction were cut further while old
                 // failures come in, and then raised to the full, all proxies together would swing between a flood
                 // and nothing.
-                if control.admitted_fraction > 0.9 * control.ceiling {
-                    control.ceiling = 0.85 * control.admitted_fraction;
+                if control.admitted_fraction > NEAR_CEILING * control.ceiling {
+                    control.ceiling = CEILING_FACTOR * control.admitted_fraction;
                 }
-                control.admitted_fraction = (0.5 * control.admitted_fraction).max(MIN_ADMITTED_FRACTION);
+                control.admitted_fraction =
+                    (CUT_FACTOR * control.admitted_fraction).max(MIN_ADMITTED_FRACTION);
                 (control.cut_at, control.ended, control.in_time) = (now, 0.0, 0.0);
             } else if ratio > min_ratio + RECOVERY_MARGIN {
-                let quick = (1.2 * control.admitted_fraction + 0.01).min(control.ceiling);
-                control.admitted_fraction = quick.max(control.admitted_fraction + 0.005).min(1.0);
+                let quick = (QUICK_GROWTH_FACTOR * control.admitted_fraction + QUICK_GROWTH_STEP)
+                    .min(control.ceiling);
+                control.admitted_fraction = quick.max(control.admitted_fraction + SLOW_GROWTH_STEP).min(1.0);
                 control.ceiling = control.ceiling.max(control.admitted_fraction);
             }
             (control.ended, control.in_time) = (control.ended * keep, control.in_time * keep);
--- a/crates/calicosaddle/src/balancer/arrival.rs
+++ b/crates/calicosaddle/src/balancer/arrival.rs
@@ -1,7 +1,7 @@
 //! Arriving requests: admission, the first attempt, or a rejection.
 
 use super::affinity::{Bucket, BUCKET_COUNT};
-use super::attempts::MAX_RETRY_BUDGET;
+use super::attempts::{MAX_RETRY_BUDGET, MIN_TIME_FRACTION};
 use super::hash::mix;
 use super::request::OpenRequest;
 use super::Balancer;
@@ -9,6 +9,14 @@
 
 /// Retries and hedges earned by each request.
 const RETRY_BUDGET_PER_REQUEST: f64 = 0.1;
+/// Weight of a request in the mean expected work of its class.
+const EXPECTED_WORK_GAIN: f64 = 0.03;
+/// Most work of a request relative to the mean of its class.
+const MAX_WORK_SCALE: f64 = 10.0;
+/// Two times left count as the same if they differ by less than the deadline divided by this.
+const REMAINING_TOLERANCE_DIVISOR: Nanos = 40;
+/// Limit of the majority counter for the common time left.
+const MAX_COMMON_VOTES: u32 = 50;
 
 impl Balancer {
     /// Handles a request that arrived.
@@ -22,8 +30,8 @@
         // after its target can't be served in time, and says nothing about the servers. The cost: if no request has
         // that time, nothing is ever rejected.
         let has_time = r.remaining >= class.latency_target / 4 * 3;
-        let hopeless =
-            class.late_value <= 0.0 && (target as f64) < 0.5 * self.stats_of(r.class as usize).mean;
+        let hopeless = class.late_value <= 0.0
+            && (target as f64) < MIN_TIME_FRACTION * self.stats_of(r.class as usize).mean;
         let bucket = r.key.map(|k| (mix(k) % BUCKET_COUNT) as u32);
         let open = OpenRequest {
             class: r.class as usize,
@@ -67,15 +75,16 @@
         let mut work_scale = 1.0;
         if let Some(stats) = self.class_stats.get_mut(r.class as usize) {
             if let Some(work) = r.expected_work.filter(|w| *w > 0) {
-                let gain = if stats.mean_expected_work > 0.0 { 0.03 } else { 1.0 };
+                let gain = if stats.mean_expected_work > 0.0 { EXPECTED_WORK_GAIN } else { 1.0 };
                 stats.mean_expected_work += gain * (work as f64 - stats.mean_expected_work);
-                work_scale = (work as f64 / stats.mean_expected_work).clamp(1.0, 10.0);
+                work_scale = (work as f64 / stats.mean_expected_work).clamp(1.0, MAX_WORK_SCALE);
             }
-            // Most requests are first ones of their client and arrive with the same time left. Any other time shows
-            // a retry, and when the client began.
-            let common = stats.common_remaining.abs_diff(r.remaining) < class.deadline / 40;
+            // Most requests are first tries and arrive with the same time left. Any other time left shows when the
+            // client began.
+            let common =
+                stats.common_remaining.abs_diff(r.remaining) < class.deadline / REMAINING_TOLERANCE_DIVISOR;
             if common {
-                stats.common_votes = (stats.common_votes + 1).min(50);
+                stats.common_votes = (stats.common_votes + 1).min(MAX_COMMON_VOTES);
             } else if stats.common_votes == 0 {
                 stats.common_remaining = r.remaining;
             } else {
--- a/crates/calicosaddle/src/balancer/attempts.rs
+++ b/crates/calicosaddle/src/balancer/attempts.rs
@@ -17,6 +17,12 @@
 pub(super) const MIN_ANSWERS: f64 = 5.0;
 /// Mean deviations above the mean answer time at which an answer is overdue.
 pub(super) const OVERDUE_DEVIATIONS: f64 = 3.5;
+/// An attempt is sent only if this fraction of the mean answer time is left for it.
+pub(super) const MIN_TIME_FRACTION: f64 = 0.5;
+/// Fraction of the time left after which an attempt is overdue: while the class's statistics can't be used yet, and
+/// at least, once they can.
+const INITIAL_PATIENCE_FRACTION: f64 = 0.5;
+const MIN_PATIENCE_FRACTION: f64 = 0.2;
 
 impl Balancer {
     /// Sends an attempt of a request to a server, with a time-out or a hedge timer if another attempt could follow.
@@ -50,9 +56,10 @@
             class.is_some_and(|c| c.retry_safety != RetrySafety::Unsafe && !c.stream) && !to_origin;
         let left = open.target_at.min(open.deadline).saturating_sub(now) as f64;
         let patience = if stats.answers < MIN_ANSWERS {
-            left * 0.5
+            left * INITIAL_PATIENCE_FRACTION
         } else {
-            (open.work_scale * (stats.mean + OVERDUE_DEVIATIONS * stats.deviation)).max(0.2 * left)
+            (open.work_scale * (stats.mean + OVERDUE_DEVIATIONS * stats.deviation))
+                .max(MIN_PATIENCE_FRACTION * left)
         };
         let mut timeout = 0;
         if retryable && may_follow && patience + stats.mean < left {
@@ -98,7 +105,7 @@
         let left = open.deadline.saturating_sub(now) as f64;
         let allowed = (open.attempts.len() as u32) < self.settings.max_attempts
             && self.retry_budget >= cost
-            && left > (0.5 * self.stats_of(open.class).mean).max(MS as f64);
+            && left > (MIN_TIME_FRACTION * self.stats_of(open.class).mean).max(MS as f64);
         let server = if allowed { self.choose_server(now, &open, 1) } else { None };
         self.open_requests.insert(id, open);
         if let Some(i) = server {
--- a/crates/calicosaddle/src/balancer/candidates.rs
+++ b/crates/calicosaddle/src/balancer/candidates.rs
@@ -11,6 +11,10 @@
 const MAX_HIT_LATENCY_FRACTION: f64 = 0.8;
 /// Part of the deduplication window left free for the way to the server.
 const DEDUP_MARGIN: Nanos = 100 * MS;
+/// A server has room while it has fewer attempts of this proxy than this number plus this multiple of the mean
+/// number for its weight.
+const BASE_INFLIGHT: f64 = 2.0;
+const MAX_INFLIGHT_RATIO: f64 = 2.0;
 
 impl Balancer {
     /// Chooses the server for the next attempt of a request; its bucket is spread over `spread` servers.
@@ -70,8 +74,11 @@
         let mean_inflight = self.total_inflight / self.total_weight.max(1e-9);
         let allowed: Vec<u32> =
             order.iter().copied().filter(|&i| self.slow_start_allows(now, i, false)).collect();
-        let has_room =
-            |s: &Server| s.inflight < s.concurrency_limit.min(2.0 + 2.0 * mean_inflight / s.inverse_weight);
+        let has_room = |s: &Server| {
+            s.inflight
+                < s.concurrency_limit
+                    .min(BASE_INFLIGHT + MAX_INFLIGHT_RATIO * mean_inflight / s.inverse_weight)
+        };
         let left = open.target_at.saturating_sub(now) as f64;
         let is_quick = |s: &Server| open.work_scale * s.mean_hit_latency < MAX_HIT_LATENCY_FRACTION * left;
         let first = &allowed[..allowed.len().min(SIGMA.max(spread))];
--- a/crates/calicosaddle/src/balancer/connections.rs
+++ b/crates/calicosaddle/src/balancer/connections.rs
@@ -8,6 +8,8 @@
 /// Mean time between two requests to a server beyond which its idle connections are closed when servers refuse
 /// connections, in seconds.
 const MAX_IDLE_S: f64 = 0.3;
+/// Open connections at each server that [`crate::api::Settings::connection_price`] is the price of.
+const CONNECTIONS_PER_PRICE: f64 = 100.0;
 
 impl Balancer {
     /// Reports whether an idle connection to a server is not worth keeping until this proxy needs it again. If many
@@ -20,7 +22,8 @@
         let (idle_price, new_price) = (self.settings.connection_price, self.settings.handshake_price);
         let fleet_rate = rate * f64::from(self.settings.proxy_count.max(1));
         let too_expensive = idle_price > 0.0
-            && send_interval_s * idle_price / (100.0 * self.eligible_count.max(1.0)) > new_price / fleet_rate;
+            && send_interval_s * idle_price / (CONNECTIONS_PER_PRICE * self.eligible_count.max(1.0))
+                > new_price / fleet_rate;
         // The connections of a real subset are few enough to keep. If they were closed because of what one lost zone
         // refuses, all proxies would open all of them again.
         let whole_fleet = self.subset.len() as f64 >= self.eligible_count;
--- a/crates/calicosaddle/src/balancer/health.rs
+++ b/crates/calicosaddle/src/balancer/health.rs
@@ -14,6 +14,10 @@
 /// A server's ejection grows to at most this multiple of its shortest one.
 const MAX_EJECTION_GROWTH: Nanos = 4;
 
+/// Least random factor on the length of an ejection, and the range above it.
+const MIN_JITTER: f64 = 0.75;
+const JITTER_RANGE: f64 = 0.5;
+
 /// Health of another zone.
 #[derive(Default)]
 pub(super) struct ZoneHealth {
@@ -37,7 +41,7 @@
 
     /// Records a failure of a server and ejects it, or its zone, after enough of them.
     pub(super) fn record_failure(&mut self, now: Nanos, server: ServerId, weight: u32) {
-        let jitter = 0.75 + 0.5 * self.random_unit();
+        let jitter = MIN_JITTER + JITTER_RANGE * self.random_unit();
         // This proxy sends to its subset alone, but the whole fleet counts for how often all proxies together
         // probe a server.
         let rate = self.request_rate(now).max(0.01);
--- a/crates/calicosaddle/src/balancer/mod.rs
+++ b/crates/calicosaddle/src/balancer/mod.rs
@@ -2,7 +2,17 @@
 //!
 //! Routing follows Go-With-The-Winner. Keys are hashed into buckets, and each bucket has a few candidate servers,
 //! each with a window of its last outcomes. The first candidate with enough hits in a row wins the bucket and keeps
-//! it. Around this, the modules hold one job each.
+//! it, so that each key is cached on one server.
+//!
+//! * `membership`: the listed servers and the subset that this proxy sends to.
+//! * `affinity`: ranking of servers for a bucket, outcome windows and pins.
+//! * `candidates`: choice of the server for an attempt.
+//! * `health`, `slow_start`, `latency`, `concurrency`: what keeps requests from servers that are down, recovering,
+//!   slow or full.
+//! * `admission`: the fraction of requests that is sent at all.
+//! * `arrival`, `attempts`, `outcome`: the course of a request.
+//! * `traffic`, `connections`: request counts, and idle connections that are not worth keeping.
+//! * `server`, `request`, `hash`: shared state and functions.
 
 mod admission;
 mod affinity;
--- a/crates/calicosaddle/src/balancer/outcome.rs
+++ b/crates/calicosaddle/src/balancer/outcome.rs
@@ -10,6 +10,14 @@
 /// Weight of an outcome in the moving ratios of refused connections, and of rejected attempts and errors.
 const CONNECT_FAILED_GAIN: f64 = 0.02;
 const OUTCOME_GAIN: f64 = 0.05;
+/// Weight of a hit in the mean hit latency of its server.
+const HIT_LATENCY_GAIN: f64 = 0.1;
+/// Least weight of an answer in the statistics of its class.
+const MIN_CLASS_GAIN: f64 = 0.03;
+/// Greatest ratio of answer time to latency target that counts for a latency score.
+const MAX_LATENCY_RATIO: f64 = 1.5;
+/// An answer is overdue only after this fraction of its latency target.
+const MIN_OVERDUE_FRACTION: f64 = 0.5;
 /// What a retry takes from the budget after an attempt that cost the servers no work.
 const CHEAP_RETRY_COST: f64 = 0.1;
 
@@ -101,12 +109,12 @@
     fn record_server_latency(&mut self, m: &Measured) {
         if let (Some(&i), true, true) = (self.index_by_id.get(&m.server), m.from_cache, m.latency_target > 0)
         {
-            let ratio = (m.elapsed as f64 / m.latency_target as f64).min(1.5);
+            let ratio = (m.elapsed as f64 / m.latency_target as f64).min(MAX_LATENCY_RATIO);
             match m.status {
                 Status::Ok if m.hit != Some(false) => {
                     self.record_latency_score(i, ratio * ratio);
                     let s = &mut self.servers[i as usize];
-                    let gain = if s.mean_hit_latency > 0.0 { 0.1 } else { 1.0 };
+                    let gain = if s.mean_hit_latency > 0.0 { HIT_LATENCY_GAIN } else { 1.0 };
                     s.mean_hit_latency += gain * (m.elapsed as f64 - s.mean_hit_latency);
                 }
                 Status::Rejected => self.record_latency_score(i, 1.0),
@@ -120,7 +128,8 @@
         let (server, elapsed, usual) = (m.server, m.elapsed, &m.usual);
         let overdue = usual.answers > MIN_ANSWERS
             && elapsed as f64
-                > (usual.mean + OVERDUE_DEVIATIONS * usual.deviation).max(0.5 * m.latency_target as f64)
+                > (usual.mean + OVERDUE_DEVIATIONS * usual.deviation)
+                    .max(MIN_OVERDUE_FRACTION * m.latency_target as f64)
             && m.hit != Some(false);
         match m.status {
             _ if !m.from_cache => {}
@@ -144,7 +153,7 @@
         let stats = m.class.and_then(|c| self.class_stats.get_mut(c));
         if let (Status::Ok, true, Some(stats)) = (m.status, m.from_cache, stats) {
             stats.answers += 1.0;
-            let gain = (1.0 / stats.answers).max(0.03);
+            let gain = (1.0 / stats.answers).max(MIN_CLASS_GAIN);
             let difference = m.elapsed as f64 - stats.mean;
             stats.mean += gain * difference;
             stats.deviation += gain * (difference.abs() - stats.deviation);
