--- a/crates/proxy/src/boxes/dial.rs
+++ b/crates/proxy/src/boxes/dial.rs
@@ -54,7 +54,7 @@
         let mut race = ConnectionRace::new(order);
         let entry = self.connections.vacant_entry();
         let key = entry.key();
-        let token = Source::Box(key).token();
+        let token = Source::Node(key).token();
         let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
         let remaining = queued.deadline.saturating_sub(now);
         let stagger_delay =
@@ -108,7 +108,7 @@
         }
         let Some(c) = self.connections.get_mut(key) else { return };
         let Some(node) = self.nodes.get_mut(&c.server) else { return };
-        c.staggered = dial(node, &mut c.race, &self.registry, Source::Rival(key).token(), now);
+        c.staggered = dial(node, &mut c.race, &self.registry, Source::NodeRace(key).token(), now);
         self.staggered_dials += usize::from(c.staggered.is_some());
     }
 
@@ -144,7 +144,7 @@
             self.dial_staggered(key, now);
             return;
         }
-        let token = Source::Box(key).token();
+        let token = Source::Node(key).token();
         let other = other.and_then(|mut d| d.socket.reregister(&self.registry, token).ok().map(|()| d));
         match other.or_else(|| dial(node, &mut c.race, &self.registry, token, now)) {
             Some(link) => c.link = link,
@@ -173,7 +173,7 @@
         }
         let Some(mut winner) = c.staggered.take() else { return false };
         self.staggered_dials -= 1;
-        if winner.socket.reregister(&self.registry, Source::Box(key).token()).is_err() {
+        if winner.socket.reregister(&self.registry, Source::Node(key).token()).is_err() {
             return false;
         }
         // The first address had more time and is not connected, so the next connection tries another one first.
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -16,7 +16,7 @@
 mod status;
 mod write;
 
-use crate::descriptors::Places;
+use crate::descriptors::DescriptorBudget;
 use crate::platform::config::Config;
 use calicosaddle::api::{Nanos, RequestId, ServerId, Status};
 use connection::Connection;
@@ -198,7 +198,7 @@
 
     /// Divides the descriptors between this number of clients and the nodes, closing an idle connection if a further
     /// client needs its descriptor. Returns how many clients are allowed then.
-    pub fn make_room(&mut self, places: Places, clients: usize) -> usize {
+    pub fn make_room(&mut self, places: DescriptorBudget, clients: usize) -> usize {
         let needed = clients >= places.for_clients(self.descriptors());
         if needed && self.descriptors() > places.for_nodes(usize::MAX) {
             self.evict_idle();
--- a/crates/proxy/src/boxes/placement.rs
+++ b/crates/proxy/src/boxes/placement.rs
@@ -52,7 +52,7 @@
     /// A node that detects repeated writes by the address they come in on would execute the write a second time if it
     /// came over another address. The write uses the same address or is not sent at all.
     fn required_address(&self, node: &Node, queued: &QueuedAttempt) -> Option<AddressId> {
-        let used = queued.query.gone_over.borrow();
+        let used = queued.query.sent_via.borrow();
         let used = used.iter().find(|(server, _)| *server == node.entry.server).map(|(_, address)| *address);
         used.filter(|_| !self.repeat_writes_across_addresses && node.addresses.len() > 1)
     }
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -128,7 +128,7 @@
         c.pipeline.record_written(bytes, now, |attempt| {
             *attempts_written += 1;
             if attempt.query.write {
-                attempt.query.gone_over.borrow_mut().push(destination);
+                attempt.query.sent_via.borrow_mut().push(destination);
             }
         });
         if !c.pipeline.has_batch() {
