--- a/crates/proxy/src/boxes/close.rs
+++ b/crates/proxy/src/boxes/close.rs
@@ -123,7 +123,7 @@
     /// Closes a connection; `status` is the outcome of the attempts that may have run.
     fn close_with(&mut self, key: usize, status: Status) {
         let Some(c) = self.connections.try_remove(key) else { return };
-        self.staggered_dials -= usize::from(c.staggered.is_some());
+        self.racing_dials -= usize::from(c.racing_dial.is_some());
         if let Some(node) = self.nodes.get_mut(&c.server) {
             node.connections.retain(|k| *k != key);
         }
@@ -157,7 +157,7 @@
     pub(super) fn close_unsolicited(&mut self, key: usize, now: Nanos) {
         let Some(c) = self.connections.get(key) else { return };
         if c.pipeline.head().is_none() {
-            self.limits.settle_delay.record_unsolicited(now.saturating_sub(c.last_reply));
+            self.pipeline_config.settle_delay.record_unsolicited(now.saturating_sub(c.last_reply));
             self.nodes.get_mut(&c.server).into_iter().for_each(|n| n.stats.surplus += 1);
         }
         self.close_and_reassign(key, now);
--- a/crates/proxy/src/boxes/connection.rs
+++ b/crates/proxy/src/boxes/connection.rs
@@ -47,7 +47,7 @@
     /// Its socket and the address that it goes to.
     pub link: Dial,
     /// Until the connection is established: the second dial that runs beside the first (RFC 8305).
-    pub staggered: Option<Dial>,
+    pub racing_dial: Option<Dial>,
     /// The addresses still to be tried, and those being tried.
     pub race: ConnectionRace,
     /// The node at its other end.
--- a/crates/proxy/src/boxes/dial.rs
+++ b/crates/proxy/src/boxes/dial.rs
@@ -1,5 +1,5 @@
 //! Opening connections. The addresses of a node race as in RFC 8305 (Happy Eyeballs): a second dial starts beside the
-//! first when that fails or takes longer than the stagger delay.
+//! first when that fails or takes longer than the connection attempt delay.
 
 use super::connection::Connection;
 use super::node::Node;
@@ -57,14 +57,14 @@
         let token = Source::Node(key).token();
         let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
         let remaining = queued.deadline.saturating_sub(now);
-        let stagger_delay =
+        let connection_attempt_delay =
             race.can_start_another().then(|| node.addresses.attempt_delay(link.address, remaining));
         self.last_serial += 1;
         node.connections.push(key);
         let sends_hello = self.hello.is_some() && node.should_send_hello();
         entry.insert(Connection {
             link,
-            staggered: None,
+            racing_dial: None,
             race,
             server,
             serial: self.last_serial,
@@ -87,20 +87,20 @@
             paused: false,
             has_replied: false,
         });
-        (Some(key), Some(NewConnection { serial: self.last_serial, stagger_delay }))
+        (Some(key), Some(NewConnection { serial: self.last_serial, connection_attempt_delay }))
     }
 
-    /// The stagger delay of a connection is over: dials the next address beside the first, if descriptors allow it.
-    pub fn start_staggered(&mut self, key: usize, serial: u64, now: Nanos) {
+    /// The connection attempt delay is over: dials the next address beside the first, if descriptors allow it.
+    pub fn start_race(&mut self, key: usize, serial: u64, now: Nanos) {
         if self.connections.get(key).is_some_and(|c| c.serial == serial) {
-            self.dial_staggered(key, now);
+            self.dial_racing(key, now);
         }
     }
 
-    /// Starts the staggered dial of a connection that is not established. Each node has one staggered dial at a time,
-    /// so that it never sees more than one connection beyond its limit.
-    fn dial_staggered(&mut self, key: usize, now: Nanos) {
-        let is_racing = |k: &usize| self.connections.get(*k).is_some_and(|c| c.staggered.is_some());
+    /// Starts the racing dial of a connection that is not established. Each node has one racing dial at a time, so that
+    /// it never sees more than one connection beyond its limit.
+    fn dial_racing(&mut self, key: usize, now: Nanos) {
+        let is_racing = |k: &usize| self.connections.get(*k).is_some_and(|c| c.racing_dial.is_some());
         let connecting = self.connections.get(key).filter(|c| !c.connected);
         let Some(node) = connecting.and_then(|c| self.nodes.get(&c.server)) else { return };
         if self.descriptors() >= self.descriptor_limit || node.connections.iter().any(is_racing) {
@@ -108,40 +108,40 @@
         }
         let Some(c) = self.connections.get_mut(key) else { return };
         let Some(node) = self.nodes.get_mut(&c.server) else { return };
-        c.staggered = dial(node, &mut c.race, &self.registry, Source::NodeRace(key).token(), now);
-        self.staggered_dials += usize::from(c.staggered.is_some());
+        c.racing_dial = dial(node, &mut c.race, &self.registry, Source::NodeRace(key).token(), now);
+        self.racing_dials += usize::from(c.racing_dial.is_some());
     }
 
-    /// A race at a node is over: starts the staggered dial of the node's next connection whose delay is over.
-    pub(super) fn dial_next_staggered(&mut self, server: ServerId, now: Nanos) {
+    /// A race at a node is over: starts the racing dial of the node's next connection whose delay is over.
+    pub(super) fn start_next_race(&mut self, server: ServerId, now: Nanos) {
         let Some(node) = self.nodes.get(&server) else { return };
         let is_due = |k: &&usize| {
             self.connections.get(**k).is_some_and(|c| {
                 let delay = node.addresses.attempt_delay(c.link.address, Nanos::MAX);
                 !c.connected
-                    && c.staggered.is_none()
+                    && c.racing_dial.is_none()
                     && c.race.can_start_another()
                     && now.saturating_sub(c.link.started_at) >= delay
             })
         };
         if let Some(key) = node.connections.iter().find(is_due).copied() {
-            self.dial_staggered(key, now);
+            self.dial_racing(key, now);
         }
     }
 
     /// One of a connection's dials failed: the other one continues, or the next address is dialed.
-    pub(super) fn dial_failed(&mut self, key: usize, staggered: bool, now: Nanos) {
+    pub(super) fn dial_failed(&mut self, key: usize, is_racing: bool, now: Nanos) {
         let Some(c) = self.connections.get_mut(key) else { return };
         let Some(node) = self.nodes.get_mut(&c.server) else { return };
-        let other = c.staggered.take();
-        self.staggered_dials -= usize::from(other.is_some());
-        let failed = if staggered { other.as_ref().map(|d| d.address) } else { Some(c.link.address) };
+        let other = c.racing_dial.take();
+        self.racing_dials -= usize::from(other.is_some());
+        let failed = if is_racing { other.as_ref().map(|d| d.address) } else { Some(c.link.address) };
         if let Some(id) = failed {
             node.addresses.connection_failed(id, now);
             c.race.attempt_failed(id);
         }
-        if staggered {
-            self.dial_staggered(key, now);
+        if is_racing {
+            self.dial_racing(key, now);
             return;
         }
         let token = Source::Node(key).token();
@@ -154,16 +154,15 @@
                 return;
             }
         }
-        // After a failure the next dial starts at once; the stagger delay is for dials that may still succeed.
-        self.dial_staggered(key, now);
+        // After a failure the next dial starts at once; the delay is for dials that may still succeed.
+        self.dial_racing(key, now);
     }
 
-    /// Handles readiness of a staggered dial's socket; returns whether it won the race and the connection is
-    /// established.
-    pub fn staggered_ready(&mut self, key: usize, now: Nanos) -> bool {
+    /// Handles readiness of a racing dial's socket; returns whether it won the race and the connection is established.
+    pub fn race_ready(&mut self, key: usize, now: Nanos) -> bool {
         let Some(c) = self.connections.get_mut(key).filter(|c| !c.connected) else { return false };
-        let Some(staggered) = &c.staggered else { return false };
-        match staggered.socket.is_up() {
+        let Some(racing) = &c.racing_dial else { return false };
+        match racing.socket.is_up() {
             Ok(false) => return false,
             Err(_) => {
                 self.dial_failed(key, true, now);
@@ -171,8 +170,8 @@
             }
             Ok(true) => {}
         }
-        let Some(mut winner) = c.staggered.take() else { return false };
-        self.staggered_dials -= 1;
+        let Some(mut winner) = c.racing_dial.take() else { return false };
+        self.racing_dials -= 1;
         if winner.socket.reregister(&self.registry, Source::Node(key).token()).is_err() {
             return false;
         }
@@ -198,7 +197,7 @@
     pub(super) fn record_refusal(&mut self, key: usize, now: Nanos) {
         let Some(server) = self.connections.get(key).map(|c| c.server) else { return };
         let replied = self.replied_connections(server);
-        self.nodes.get_mut(&server).into_iter().for_each(|n| n.capacity.record_refused(replied, now));
+        self.nodes.get_mut(&server).into_iter().for_each(|n| n.connection_limit.record_refused(replied, now));
     }
 
     /// Number of connections to a node that have carried a reply.
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -28,13 +28,13 @@
 use pipeline::{BoxLatencies, PipelineConfig};
 use resp::{Frame, Reply, Shape};
 use rustc_hash::{FxHashMap, FxHashSet};
-pub use settings::{hello_command, pipeline_limits};
+pub use settings::{hello_command, pipeline_config};
 use slab::Slab;
 use std::collections::{BTreeSet, VecDeque};
 
 const MS: Nanos = 1_000_000;
 /// Planned connections to one cache node from all proxies together. Nodes accept about thirty, a fuller table takes
-/// more of their capacity, and restarted proxies open theirs while the old ones are still counted.
+/// more of their capacity, and restarted proxies open theirs again.
 const PLANNED_CONNECTIONS_PER_NODE: usize = 24;
 /// The most connections from one proxy to a node: more than a node has slots for requests.
 const MAX_CONNECTIONS_PER_NODE: usize = 8;
@@ -88,7 +88,7 @@
     /// Its serial number among all connections since the start.
     pub serial: u64,
     /// After this time without success another address may be dialed in parallel.
-    pub stagger_delay: Option<Nanos>,
+    pub connection_attempt_delay: Option<Nanos>,
 }
 
 /// The cache nodes and all connections to them.
@@ -100,8 +100,8 @@
     registry: Registry,
     /// A write may be repeated over another address of its node.
     repeat_writes_across_addresses: bool,
-    /// Staggered dials in progress; each holds a descriptor.
-    staggered_dials: usize,
+    /// Racing dials in progress; each holds a descriptor.
+    racing_dials: usize,
     connections: Slab<Connection>,
     /// Serial number of the connection opened last.
     last_serial: u64,
@@ -113,9 +113,9 @@
     max_per_node: usize,
     /// The most descriptors for connections to nodes.
     descriptor_limit: usize,
-    limits: PipelineConfig,
+    pipeline_config: PipelineConfig,
     /// Response and connect times over all nodes.
-    times: BoxLatencies,
+    latencies: BoxLatencies,
     pipeline_options: operator::Pipeline,
     /// Pipeline counters of the nodes that were removed.
     removed_stats: Pipelines,
@@ -151,15 +151,15 @@
             drained: FxHashSet::default(),
             registry,
             repeat_writes_across_addresses: options.boxes.repeat_writes_across_addresses,
-            staggered_dials: 0,
+            racing_dials: 0,
             connections: Slab::new(),
             last_serial: 0,
             attempts_written: 0,
             hello,
             max_per_node: 1,
             descriptor_limit,
-            limits: PipelineConfig::default(),
-            times: BoxLatencies::NONE,
+            pipeline_config: PipelineConfig::default(),
+            latencies: BoxLatencies::NONE,
             pipeline_options: options.pipeline.clone(),
             removed_stats: Pipelines::default(),
             write_queue: Vec::new(),
@@ -179,37 +179,38 @@
     /// Checks whether a configuration can be applied.
     ///
     /// # Errors
-    /// As for [`pipeline_limits`].
+    /// As for [`pipeline_config`].
     pub fn check_config(&self, config: &Config) -> Result<(), String> {
-        pipeline_limits(&self.pipeline_options, config).map(|_| ())
+        pipeline_config(&self.pipeline_options, config).map(|_| ())
     }
 
     /// Applies a configuration.
     pub fn configure(&mut self, config: &Config) {
         let per_proxy = PLANNED_CONNECTIONS_PER_NODE / config.settings.proxy_count.max(1) as usize;
         self.max_per_node = per_proxy.clamp(1, MAX_CONNECTIONS_PER_NODE);
-        // Invalid limits have been rejected before. The learned settle delay is kept.
-        let learned = self.limits.settle_delay;
-        self.limits = pipeline_limits(&self.pipeline_options, config).unwrap_or(self.limits);
-        self.limits.settle_delay = self.limits.settle_delay.with_learned(learned);
+        // An invalid configuration has been rejected before. The learned settle delay is kept.
+        let learned = self.pipeline_config.settle_delay;
+        self.pipeline_config =
+            pipeline_config(&self.pipeline_options, config).unwrap_or(self.pipeline_config);
+        self.pipeline_config.settle_delay = self.pipeline_config.settle_delay.with_learned(learned);
         self.configured_idle_limit = (config.idle as f64 * USABLE_IDLE_FRACTION) as Nanos;
         self.idle_limit = self.idle_outcomes.limit(self.configured_idle_limit);
     }
 
     /// Divides the descriptors between this number of clients and the nodes, closing an idle connection if a further
     /// client needs its descriptor. Returns how many clients are allowed then.
-    pub fn make_room(&mut self, places: DescriptorBudget, clients: usize) -> usize {
-        let needed = clients >= places.for_clients(self.descriptors());
-        if needed && self.descriptors() > places.for_nodes(usize::MAX) {
+    pub fn make_room(&mut self, budget: DescriptorBudget, clients: usize) -> usize {
+        let needed = clients >= budget.for_clients(self.descriptors());
+        if needed && self.descriptors() > budget.for_nodes(usize::MAX) {
             self.evict_idle();
         }
-        self.descriptor_limit = places.for_nodes(clients);
-        places.for_clients(self.descriptors())
+        self.descriptor_limit = budget.for_nodes(clients);
+        budget.for_clients(self.descriptors())
     }
 
     /// Descriptors held by connections to nodes.
     pub fn descriptors(&self) -> usize {
-        self.connections.len() + self.staggered_dials
+        self.connections.len() + self.racing_dials
     }
 
     /// Attempts fully written since the start.
@@ -325,7 +326,7 @@
         let poll = mio::Poll::new().expect("create a poll");
         for unsolicited in [false, true] {
             let mut boxes = with_node(&listener, &poll);
-            boxes.limits =
+            boxes.pipeline_config =
                 PipelineConfig { settle_delay: SettleDelay::new(None), ..PipelineConfig::default() };
             let (key, _) = boxes.send(7, queued(&sample()), 0).expect("a connection for the attempt");
             let mut node = listener.accept().expect("accept").0;
@@ -403,7 +404,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
         let poll = mio::Poll::new().expect("create a poll");
         let mut boxes = with_node(&listener, &poll);
-        (boxes.max_per_node, boxes.limits) = (1, PipelineConfig::default());
+        (boxes.max_per_node, boxes.pipeline_config) = (1, PipelineConfig::default());
         assert!(boxes.send(7, queued(&sample()), 0).is_some());
         for attempt in 1..4 {
             assert!(boxes.send(7, QueuedAttempt { attempt, ..queued(&sample()) }, 0).is_none());
@@ -422,7 +423,7 @@
     }
 
     #[test]
-    fn slow_connects_to_one_node_have_one_staggered_dial_at_a_time() {
+    fn slow_connects_to_one_node_have_one_racing_dial_at_a_time() {
         let (unreachable, _listener) = testkit::scripted::full_backlog();
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
         let poll = mio::Poll::new().expect("create a poll");
@@ -431,15 +432,15 @@
         host.dials.insert(0, Address::Tcp(unreachable));
         boxes.apply_list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
         let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, queued(&sample()), 0)).collect();
-        assert_eq!((keys.len(), boxes.staggered_dials), (4, 0));
+        assert_eq!((keys.len(), boxes.racing_dials), (4, 0));
         for (key, new) in &keys {
-            boxes.start_staggered(*key, new.expect("a new connection").serial, 300 * MS);
+            boxes.start_race(*key, new.expect("a new connection").serial, 300 * MS);
         }
-        assert_eq!((boxes.staggered_dials, boxes.descriptors()), (1, 5));
-        // Each connection established over the second address lets the next staggered dial start.
+        assert_eq!((boxes.racing_dials, boxes.descriptors()), (1, 5));
+        // Each connection established over the second address lets the next racing dial start.
         for (i, (key, _)) in keys.iter().enumerate() {
             let started = Instant::now();
-            while !boxes.staggered_ready(*key, 310 * MS) {
+            while !boxes.race_ready(*key, 310 * MS) {
                 assert!(
                     started.elapsed() < Duration::from_secs(20),
                     "the race of connection {i} did not end within 20 s"
@@ -447,7 +448,7 @@
                 std::thread::sleep(Duration::from_millis(1));
             }
             boxes.ready(*key, false, &mut [0; 64], 310 * MS);
-            assert_eq!(boxes.staggered_dials, usize::from(i < 3), "after connection {i}");
+            assert_eq!(boxes.racing_dials, usize::from(i < 3), "after connection {i}");
         }
         assert!(boxes.connections.iter().all(|(_, c)| c.connected));
     }
--- a/crates/proxy/src/boxes/node.rs
+++ b/crates/proxy/src/boxes/node.rs
@@ -34,9 +34,9 @@
     /// Keys of the connections to it.
     pub connections: Vec<usize>,
     /// Its measured response and connect times, allocated with the first measurement.
-    times: Option<Box<BoxLatencies>>,
+    latencies: Option<Box<BoxLatencies>>,
     /// How many connections it accepts from this proxy.
-    pub capacity: ConnectionLimit,
+    pub connection_limit: ConnectionLimit,
     /// Pipeline counters of its connections. The depths are computed on request.
     pub stats: Pipelines,
 }
@@ -56,20 +56,20 @@
             unanswered_hellos: 0,
             addresses,
             connections: Vec::new(),
-            times: None,
-            capacity: ConnectionLimit::default(),
+            latencies: None,
+            connection_limit: ConnectionLimit::default(),
             stats: Pipelines::default(),
         }
     }
 
     /// Its measured response and connect times.
-    pub fn times(&self) -> &BoxLatencies {
-        self.times.as_deref().unwrap_or(&BoxLatencies::NONE)
+    pub fn latencies(&self) -> &BoxLatencies {
+        self.latencies.as_deref().unwrap_or(&BoxLatencies::NONE)
     }
 
     /// The same, for recording a measurement.
-    pub fn times_mut(&mut self) -> &mut BoxLatencies {
-        self.times.get_or_insert_default()
+    pub fn latencies_mut(&mut self) -> &mut BoxLatencies {
+        self.latencies.get_or_insert_default()
     }
 
     /// Whether the node takes new work: discovery lists it as ready and no operator has drained it.
--- a/crates/proxy/src/boxes/placement.rs
+++ b/crates/proxy/src/boxes/placement.rs
@@ -70,7 +70,7 @@
         let streaming = |key: &&usize| self.connections.get(**key).is_some_and(|c| c.streaming);
         let streaming = node.connections.iter().filter(streaming).count().min(self.max_per_node);
         let may_open = node.connections.len() - streaming < self.max_per_node
-            && node.capacity.allows(node.connections.len(), now);
+            && node.connection_limit.allows(node.connections.len(), now);
         let required = self.required_address(node, queued);
         let mut place = self.choose(node, queued, required, may_open, now);
         if place == Placement::New {
@@ -84,7 +84,7 @@
     }
 
     fn latency_context<'a>(&'a self, node: &'a Node) -> LatencyContext<'a> {
-        LatencyContext { this_box: node.times(), all_boxes: &self.times }
+        LatencyContext { this_box: node.latencies(), all_boxes: &self.latencies }
     }
 
     fn choose(
@@ -112,7 +112,13 @@
             })
         });
         let request = PlacementRequest { kind, target_time: queued.target, may_open };
-        pipeline::choose_connection(&request, candidates, self.latency_context(node), &self.limits, now)
+        pipeline::choose_connection(
+            &request,
+            candidates,
+            self.latency_context(node),
+            &self.pipeline_config,
+            now,
+        )
     }
 
     /// Moves attempts that are entirely unwritten to other connections.
@@ -172,7 +178,8 @@
             let age = c.pipeline.head_age(now).filter(|_| c.connected && c.pipeline.has_queued())?;
             let kind = c.pipeline.head_kind()?;
             let latency = c.pipeline.latency();
-            pipeline::is_stalled(age, latency, kind, self.latency_context(node), &self.limits).then_some(key)
+            pipeline::is_stalled(age, latency, kind, self.latency_context(node), &self.pipeline_config)
+                .then_some(key)
         };
         let stalled: Vec<usize> = self.connections.iter().filter_map(stalled).collect();
         for key in stalled {
--- a/crates/proxy/src/boxes/read.rs
+++ b/crates/proxy/src/boxes/read.rs
@@ -44,16 +44,16 @@
         let Some(c) = self.connections.get_mut(key) else { return };
         c.connected = true;
         c.race.attempt_succeeded(c.link.address);
-        self.staggered_dials -= usize::from(c.staggered.take().is_some());
+        self.racing_dials -= usize::from(c.racing_dial.take().is_some());
         let server = c.server;
         if let Some(node) = self.nodes.get_mut(&server) {
             let connect_time = now.saturating_sub(c.link.started_at);
             node.addresses.connected(c.link.address, connect_time);
-            for times in [node.times_mut(), &mut self.times] {
-                times.record_connect(connect_time);
+            for latencies in [node.latencies_mut(), &mut self.latencies] {
+                latencies.record_connect(connect_time);
             }
         }
-        self.dial_next_staggered(server, now);
+        self.start_next_race(server, now);
     }
 
     /// Reads received bytes, up to a bound.
@@ -165,12 +165,17 @@
         let bytes = if c.uses_resp3() { value } else { std::mem::take(&mut c.reply_bytes) };
         let streamed = std::mem::take(&mut c.streaming);
         c.last_reply = now;
-        c.ready_at = if c.depth() == 0 { now + self.limits.settle_delay.duration() } else { now };
+        c.ready_at = if c.depth() == 0 { now + self.pipeline_config.settle_delay.duration() } else { now };
         let (server, is_first) = (c.server, !std::mem::replace(&mut c.has_replied, true));
         if let Some(node) = self.nodes.get_mut(&c.server) {
             node.addresses.answer_received(c.link.address, answered.latency, now);
-            for times in [node.times_mut(), &mut self.times] {
-                times.record_answer(answered.kind, answered.pipelined, answered.latency, answered.head_time);
+            for latencies in [node.latencies_mut(), &mut self.latencies] {
+                latencies.record_answer(
+                    answered.kind,
+                    answered.pipelined,
+                    answered.latency,
+                    answered.head_time,
+                );
             }
         }
         if c.idle_before_write > 0 {
@@ -178,7 +183,10 @@
         }
         if is_first {
             let replied = self.replied_connections(server);
-            self.nodes.get_mut(&server).into_iter().for_each(|n| n.capacity.record_answering(replied));
+            self.nodes
+                .get_mut(&server)
+                .into_iter()
+                .for_each(|n| n.connection_limit.record_answering(replied));
         }
         let Some((id, attempt)) = answered.tag else { return true };
         self.events.push_back(match reply.kind {
--- a/crates/proxy/src/boxes/settings.rs
+++ b/crates/proxy/src/boxes/settings.rs
@@ -28,7 +28,7 @@
     Ok(options.resp3.then_some(bytes))
 }
 
-/// The pipeline limits of the operator's file, checked against the platform's bounds. Without other settings a
+/// The pipeline configuration of the operator's file, checked against the platform's bounds. Without other settings a
 /// connection carries one command at a time.
 ///
 /// Replies are matched to commands by order alone, and cache nodes may send unsolicited bytes right behind a valid
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// One line for each key that exceeds its bound, with the key, its value and the bound.
-pub fn pipeline_limits(options: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
+pub fn pipeline_config(options: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
     let max_depth = config.streams;
     let bound_error = |(key, depth): &(&str, Option<usize>)| {
         let depth = depth.filter(|d| *d > max_depth)?;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -126,7 +126,7 @@
         let memory = ((config.memory_mb << 20) / MEMORY_DIVISOR) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
         let hello = boxes::hello_command(&operator.boxes)?;
-        boxes::pipeline_limits(&operator.pipeline, &config)?;
+        boxes::pipeline_config(&operator.pipeline, &config)?;
         let shadow = operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, &config)).transpose()?;
         let persisted = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
@@ -204,7 +204,7 @@
         front::users(&operator.clients, &config.tenants)?;
         boxes::hello_command(&operator.boxes)?;
         operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, config)).transpose()?;
-        boxes::pipeline_limits(&operator.pipeline, config).map(|_| ())
+        boxes::pipeline_config(&operator.pipeline, config).map(|_| ())
     }
 
     /// Adds a receiver of the messages that cache nodes push.
@@ -273,7 +273,7 @@
                 _ => continue,
             };
             self.event_loop.update_now();
-            if !is_race || self.boxes.staggered_ready(key, self.event_loop.now) {
+            if !is_race || self.boxes.race_ready(key, self.event_loop.now) {
                 self.boxes.ready(key, is_closed(event), &mut self.buffer, self.event_loop.now);
             }
             self.process_pending();
@@ -431,9 +431,7 @@
                 TimerEvent::RequestDeadline(id) => self.request_deadline(id),
                 TimerEvent::AttemptTimeout(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
                 TimerEvent::ConnectTimeout(key, serial) => self.boxes.connect_timeout(key, serial, now),
-                TimerEvent::ConnectionAttemptDelay(key, serial) => {
-                    self.boxes.start_staggered(key, serial, now)
-                }
+                TimerEvent::ConnectionAttemptDelay(key, serial) => self.boxes.start_race(key, serial, now),
                 TimerEvent::ResumeAccept => self.clients.knocked(),
                 TimerEvent::ShadowTimeout(number) => {
                     self.shadow_traffic.iter_mut().for_each(|s| s.copy_timeout(number, now));
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -129,7 +129,7 @@
         if let Some(new) = new {
             let timeout = self.config.settings.connect_timeout.max(MS);
             timers.set(now + timeout, TimerEvent::ConnectTimeout(connection, new.serial));
-            if let Some(delay) = new.stagger_delay {
+            if let Some(delay) = new.connection_attempt_delay {
                 timers.set(now + delay, TimerEvent::ConnectionAttemptDelay(connection, new.serial));
             }
         }
