--- /dev/null
+++ b/crates/proxy/src/boxes/placement.rs
@@ -0,0 +1,184 @@
+//! Assigns attempts to connections. The choice itself is made by the `pipeline` crate; this module collects its input
+//! and carries it out.
+
+use super::connection::Connection;
+use super::node::Node;
+use super::{Boxes, NewConnection, NodeEvent, QueuedAttempt};
+use addresses::AddressId;
+use calicosaddle::api::{Nanos, RequestId, ServerId, Status};
+use pipeline::{Command, ConnectionState, LatencyContext, Placement, PlacementRequest};
+
+impl Boxes {
+    /// Queues an attempt on a connection. It is written at the end of this turn of the event loop, or once the
+    /// connection is established. Returns the connection's key, with its details if it is new; `None` if the attempt
+    /// ended at once.
+    pub fn send(
+        &mut self,
+        server: ServerId,
+        queued: QueuedAttempt,
+        now: Nanos,
+    ) -> Option<(usize, Option<NewConnection>)> {
+        if !self.nodes.contains_key(&server) {
+            self.end_unsent(queued, Status::NotSent);
+            return None;
+        }
+        let Some((key, new)) = self.place(server, &queued, now) else {
+            let connected = self.nodes.get(&server).is_some_and(|n| !n.connections.is_empty());
+            self.end_unsent(queued, Status::without_connection(connected));
+            return None;
+        };
+        self.enqueue(key, queued, now);
+        Some((key, new))
+    }
+
+    /// Queues an attempt on a connection, and the connection for writing.
+    fn enqueue(&mut self, key: usize, queued: QueuedAttempt, now: Nanos) {
+        let connection = &mut self.connections[key];
+        connection.pipeline.push(queued);
+        if connection.connected && !std::mem::replace(&mut connection.write_queued, true) {
+            if connection.ready_at > now {
+                self.settling.insert((connection.ready_at, key));
+                return;
+            }
+            if self.write_queue.is_empty() {
+                self.batch_started_at = now;
+            }
+            self.write_queue.push(key);
+        }
+    }
+
+    /// The address that a write must use, if it may have reached the node over that address already.
+    ///
+    /// A node that detects repeated writes by the address they come in on would execute the write a second time if it
+    /// came over another address. The write uses the same address or is not sent at all.
+    fn required_address(&self, node: &Node, queued: &QueuedAttempt) -> Option<AddressId> {
+        let used = queued.query.sent_via.borrow();
+        let used = used.iter().find(|(server, _)| *server == node.entry.server).map(|(_, address)| *address);
+        used.filter(|_| !self.repeat_writes_across_addresses && node.addresses.len() > 1)
+    }
+
+    /// Selects the connection for an attempt, opening one if necessary.
+    fn place(
+        &mut self,
+        server: ServerId,
+        queued: &QueuedAttempt,
+        now: Nanos,
+    ) -> Option<(usize, Option<NewConnection>)> {
+        let node = self.nodes.get(&server)?;
+        // A connection that streams a long value goes at its client's pace and carries nothing else meanwhile. Up to
+        // `max_per_node` of them do not count against the limit.
+        let streaming = |key: &&usize| self.connections.get(**key).is_some_and(|c| c.streaming);
+        let streaming = node.connections.iter().filter(streaming).count().min(self.max_per_node);
+        let may_open = node.connections.len() - streaming < self.max_per_node
+            && node.capacity.allows(node.connections.len(), now);
+        let required = self.required_address(node, queued);
+        let mut place = self.choose(node, queued, required, may_open, now);
+        if place == Placement::New {
+            if let (Some(key), new) = self.open(server, required, queued, now) {
+                return Some((key, new));
+            }
+            // No descriptor is free, or no address could be dialed: choose among the open connections.
+            place = self.choose(self.nodes.get(&server)?, queued, required, false, now);
+        }
+        place.key().map(|key| (key, None))
+    }
+
+    fn latency_context<'a>(&'a self, node: &'a Node) -> LatencyContext<'a> {
+        LatencyContext { this_box: node.times(), all_boxes: &self.times }
+    }
+
+    fn choose(
+        &self,
+        node: &Node,
+        queued: &QueuedAttempt,
+        required: Option<AddressId>,
+        may_open: bool,
+        now: Nanos,
+    ) -> Placement<usize> {
+        let kind = queued.kind();
+        let candidates = node.connections.iter().filter_map(|key| {
+            let c = self.connections.get(*key).filter(|c| c.accepts_attempt(self.idle_limit, now))?;
+            // A connection that is still being established may use any address in the end.
+            let fits = if c.connected { node.can_carry(c, required) } else { required.is_none() };
+            fits.then(|| ConnectionState {
+                key: *key,
+                connected: c.connected,
+                active_since: if c.connected { c.last_active } else { c.link.started_at },
+                writable_at: c.ready_at,
+                depth: c.depth(),
+                head_age: c.pipeline.head_age(now),
+                latency: c.pipeline.latency(),
+                same_kind: c.pipeline.is_uniform(kind),
+            })
+        });
+        let request = PlacementRequest { kind, target_time: queued.target, may_open };
+        pipeline::choose_connection(&request, candidates, self.latency_context(node), &self.limits, now)
+    }
+
+    /// Moves attempts that are entirely unwritten to other connections.
+    pub(super) fn reassign(
+        &mut self,
+        server: ServerId,
+        queued: impl IntoIterator<Item = QueuedAttempt>,
+        now: Nanos,
+    ) {
+        for queued in queued {
+            let (id, attempt) = queued.tag();
+            if let Some((key, new)) = self.send(server, queued, now) {
+                self.record_reassigned(server, id, attempt, key, new);
+            }
+        }
+    }
+
+    fn record_reassigned(
+        &mut self,
+        server: ServerId,
+        id: RequestId,
+        attempt: u32,
+        key: usize,
+        new: Option<NewConnection>,
+    ) {
+        if let Some(node) = self.nodes.get_mut(&server) {
+            node.stats.moved += 1;
+        }
+        self.events.push_back(NodeEvent::Reassigned(id, attempt, key, new));
+    }
+
+    /// Gives a connection that has become idle the next attempt of the node's longest-connecting connection.
+    pub(super) fn take_over_waiting(&mut self, key: usize, now: Nanos) {
+        let idle = |c: &&Connection| c.connected && c.depth() == 0 && c.accepts_attempt(self.idle_limit, now);
+        let Some(c) = self.connections.get(key).filter(idle) else { return };
+        let Some(node) = self.nodes.get(&c.server) else { return };
+        let waits =
+            |k: &&usize| self.connections.get(**k).is_some_and(|c| !c.connected && c.pipeline.has_queued());
+        let connecting =
+            node.connections.iter().filter(waits).min_by_key(|k| self.connections[**k].link.started_at);
+        let Some(connecting) = connecting.copied() else { return };
+        let fits = |queued: &QueuedAttempt| node.can_carry(c, self.required_address(node, queued));
+        if !self.connections[connecting].pipeline.peek_queued().is_some_and(fits) {
+            return;
+        }
+        let server = c.server;
+        let Some(queued) = self.connections[connecting].pipeline.pop_queued() else { return };
+        let (id, attempt) = queued.tag();
+        self.enqueue(key, queued, now);
+        self.record_reassigned(server, id, attempt, key, None);
+    }
+
+    /// Reassigns the unwritten attempts behind each head that has taken longer than its history explains.
+    pub(super) fn reassign_behind_stalled(&mut self, now: Nanos) {
+        let stalled = |(key, c): (usize, &Connection)| {
+            let node = self.nodes.get(&c.server)?;
+            let age = c.pipeline.head_age(now).filter(|_| c.connected && c.pipeline.has_queued())?;
+            let kind = c.pipeline.head_kind()?;
+            let latency = c.pipeline.latency();
+            pipeline::is_stalled(age, latency, kind, self.latency_context(node), &self.limits).then_some(key)
+        };
+        let stalled: Vec<usize> = self.connections.iter().filter_map(stalled).collect();
+        for key in stalled {
+            let Some(c) = self.connections.get_mut(key) else { continue };
+            let (server, queued) = (c.server, c.pipeline.take_queued());
+            self.reassign(server, queued, now);
+        }
+    }
+}
