--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,7 +9,7 @@
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
 use model::Chance;
-use resp::{Greeting, Item, Kind, Protocol, ReplyReader};
+use resp::{HelloReplyParser, Protocol, ReplyKind, ReplyReader, ServerMessage};
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -201,7 +201,7 @@
 
 struct Connection {
     stream: TcpStream,
-    greeting: Option<Greeting>,
+    greeting: Option<HelloReplyParser>,
     reader: ReplyReader,
     raw: Vec<u8>,
     sent: VecDeque<Request>,
@@ -242,7 +242,7 @@
         }
         let connection = Connection {
             stream,
-            greeting: three.then(Greeting::default),
+            greeting: three.then(HelloReplyParser::default),
             reader: ReplyReader::new(if three { Protocol::Three } else { Protocol::Two }),
             raw: Vec::new(),
             sent: VecDeque::new(),
@@ -389,12 +389,12 @@
             }
             input = &input[used..];
             let reply = match item {
-                Some(Item::Reply(reply, _)) => reply,
-                Some(Item::Part(part)) => match part.tail {
+                Some(ServerMessage::Reply(reply, _)) => reply,
+                Some(ServerMessage::Part(part)) => match part.tail {
                     Some(reply) => reply,
                     None => continue,
                 },
-                Some(Item::Push(_)) | None => continue,
+                Some(ServerMessage::Push(_)) | None => continue,
             };
             let raw = std::mem::take(&mut c.raw);
             let Some(request) = c.sent.pop_front() else {
@@ -405,14 +405,14 @@
             self.tally.took(request.intended, now);
             let hex = format!("{:016x}", request.key);
             let crossed = self.args.check_keys
-                && reply.kind == Kind::Served
+                && reply.kind == ReplyKind::Served
                 && !self.args.classes[request.class].write
                 && !raw.windows(hex.len()).any(|w| w == hex.as_bytes());
             match reply.kind {
                 _ if crossed => self.tally.wrong += 1,
-                Kind::Served => self.tally.served += 1,
-                Kind::Busy => self.tally.refused += 1,
-                Kind::Failed => self.tally.failed += 1,
+                ReplyKind::Served => self.tally.served += 1,
+                ReplyKind::Busy => self.tally.refused += 1,
+                ReplyKind::Failed => self.tally.failed += 1,
             }
             c.ends |= self.chance.happens(self.args.churn);
             if c.ends && c.sent.is_empty() {
--- a/crates/proxy/benches/resp3.rs
+++ b/crates/proxy/benches/resp3.rs
@@ -7,7 +7,7 @@
 //!
 //! With `OLD_TRESTLESILL` naming the binary of another version, `cost` measures that one as well, in RESP2.
 
-use resp::{CommandParser, Protocol, Room};
+use resp::{CommandParser, MemoryBudget, Protocol};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -42,7 +42,8 @@
 
 fn answer_all(mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let (mut parser, mut buffer, mut null) = (CommandParser::new(Room::new(1 << 20)), [0; 16 << 10], "$-1");
+    let (mut parser, mut buffer, mut null) =
+        (CommandParser::new(MemoryBudget::new(1 << 20)), [0; 16 << 10], "$-1");
     let value = "v".repeat(100);
     while let Ok(n @ 1..) = stream.read(&mut buffer) {
         let (mut piece, mut out) = (&buffer[..n], String::new());
--- a/crates/proxy/src/boxes/connection.rs
+++ b/crates/proxy/src/boxes/connection.rs
@@ -5,7 +5,7 @@
 use addresses::ConnectionRace;
 use calicosaddle::api::{Nanos, RequestId, ServerId};
 use pipeline::{CommandKind, Pipeline};
-use resp::{Greeting, Protocol, ReplyReader};
+use resp::{HelloReplyParser, Protocol, ReplyReader};
 use std::rc::Rc;
 
 /// A longer write goes out from where it lies instead of being copied behind its command.
@@ -63,7 +63,7 @@
     /// It is greeted in RESP3 together with the first attempt.
     pub greets: bool,
     /// Reads the answer to the greeting, once that is sent and until it has come.
-    pub greeting: Option<Greeting>,
+    pub greeting: Option<HelloReplyParser>,
     /// Reads the replies.
     pub reader: ReplyReader,
     /// The bytes of the reply at hand.
@@ -95,7 +95,7 @@
 
     /// Something on it has begun and not ended.
     pub fn midway(&self) -> bool {
-        self.reader.midway() || self.greeting.as_ref().is_some_and(Greeting::midway)
+        self.reader.in_progress() || self.greeting.as_ref().is_some_and(HelloReplyParser::in_progress)
     }
 
     /// It speaks RESP3.
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -24,7 +24,7 @@
 use pipeline::{
     BoxLatencies, CancelOutcome, DisconnectOutcome, Pipeline, PipelineConfig, PlacementPolicy, SettleDelay,
 };
-use resp::{Frame, Item, Kind, Part, Protocol, Reply, ReplyReader, Shape};
+use resp::{BodyFormat, Frame, Protocol, Reply, ReplyKind, ReplyPart, ReplyReader, ServerMessage};
 use rests::Rests;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde_json::{json, Value};
@@ -62,7 +62,7 @@
 /// # Errors
 /// The key and what is wrong with it.
 pub fn hello(told: &operator::Boxes) -> Result<Option<Vec<u8>>, String> {
-    let mut words = vec![Frame::text("HELLO"), Frame::text("3")];
+    let mut words = vec![Frame::bulk_string("HELLO"), Frame::bulk_string("3")];
     if let (Some(user), Some(path)) = (&told.user, &told.password_file) {
         let fault = |what: String| format!("boxes.password_file: {}: {what}", path.display());
         let password = std::fs::read_to_string(path).map_err(|e| fault(format!("can't be read: {e}")))?;
@@ -70,7 +70,7 @@
         if password.is_empty() || password.len() > MAX_PASSWORD {
             return Err(fault(format!("does not hold a password of 1 to {MAX_PASSWORD} bytes")));
         }
-        words.extend([Frame::text("AUTH"), Frame::text(user), Frame::text(password)]);
+        words.extend([Frame::bulk_string("AUTH"), Frame::bulk_string(user), Frame::bulk_string(password)]);
     }
     let mut bytes = Vec::new();
     Frame::Array(words).write(Protocol::Two, &mut bytes);
@@ -141,7 +141,7 @@
     /// behind another reply.
     Served(RequestId, u32, Reply, Vec<u8>, Option<Nanos>),
     /// A long value begins, on this connection: what it is and its length.
-    Begun(RequestId, u32, usize, Shape, usize),
+    Begun(RequestId, u32, usize, BodyFormat, usize),
     /// Some bytes of it, ...
     Passed(RequestId, Vec<u8>),
     /// ... its end, and all else that its reply tells; ...
@@ -856,25 +856,25 @@
                 self.spoilt(key);
                 return true;
             };
-            if !three && front != Some(None) && !matches!(item, Some(Item::Part(_))) {
+            if !three && front != Some(None) && !matches!(item, Some(ServerMessage::Part(_))) {
                 c.reply.extend_from_slice(&input[..used]);
             }
             input = &input[used..];
             let item = match item {
-                Some(Item::Part(part)) => match self.part(key, part) {
-                    Some(reply) => Some(Item::Reply(reply, Vec::new())),
+                Some(ServerMessage::Part(part)) => match self.part(key, part) {
+                    Some(reply) => Some(ServerMessage::Reply(reply, Vec::new())),
                     None => continue,
                 },
                 item => item,
             };
             let Some(c) = self.all.get_mut(key) else { return true };
             let (reply, value) = match item {
-                Some(Item::Reply(reply, value)) => (reply, value),
-                Some(Item::Push(told)) => {
+                Some(ServerMessage::Reply(reply, value)) => (reply, value),
+                Some(ServerMessage::Push(told)) => {
                     self.news.push_back(News::Push(c.node, told));
                     continue;
                 }
-                Some(Item::Part(_)) | None => continue,
+                Some(ServerMessage::Part(_)) | None => continue,
             };
             let Some(answered) = c.pipe.complete_head(now) else { return false };
             let bytes = if three { value } else { std::mem::take(&mut c.reply) };
@@ -903,12 +903,12 @@
             let Some((id, attempt)) = answered.tag else { continue };
             self.news.push_back(match reply.kind {
                 _ if passed => News::Done(id, reply),
-                Kind::Served => {
+                ReplyKind::Served => {
                     let took = (!answered.pipelined).then_some(answered.latency);
                     News::Served(id, attempt, reply, bytes, took)
                 }
-                Kind::Busy => News::Ended(id, attempt, Status::Rejected, reply),
-                Kind::Failed => News::Ended(id, attempt, Status::Error, reply),
+                ReplyKind::Busy => News::Ended(id, attempt, Status::Rejected, reply),
+                ReplyKind::Failed => News::Ended(id, attempt, Status::Error, reply),
             });
         }
         // Only attempts that are over are left: closing spares the node their work.
@@ -936,7 +936,7 @@
 
     /// Takes a part of a long value; its reply, once that is whole. The parts of one that nobody waits for any more
     /// are dropped.
-    fn part(&mut self, key: usize, part: Part) -> Option<Reply> {
+    fn part(&mut self, key: usize, part: ReplyPart) -> Option<Reply> {
         let c = self.all.get_mut(key)?;
         c.reply.clear();
         if let Some((id, attempt)) = c.pipe.head().flatten() {
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -2,7 +2,7 @@
 
 use super::{Boxes, News, KEPT, MS};
 use calicosaddle::api::{Nanos, Status};
-use resp::{Greeting, Reply};
+use resp::{HelloReplyParser, Reply};
 use std::io::{self, IoSlice, Write};
 
 impl Boxes {
@@ -142,7 +142,7 @@
             if std::mem::take(&mut c.greets) {
                 // Together with the first request, so that it costs no round trip.
                 c.out.extend(self.hello.iter().flatten());
-                c.greeting = Some(Greeting::default());
+                c.greeting = Some(HelloReplyParser::default());
             }
             job.query.encode(((job.until - now) / MS).max(1), &mut c.out);
             let long = pipeline::Command::kind(&job).large_value;
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -5,7 +5,7 @@
 use calicosaddle::api::{Nanos, RequestId};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
-use resp::{Command, CommandParser, Protocol, Reply, Room, Shape, MAX_VALUE};
+use resp::{BodyFormat, Command, CommandParser, MemoryBudget, Protocol, Reply, MAX_BUFFERED_VALUE_BYTES};
 use session::{Said, Session, Users};
 use slab::Slab;
 use std::borrow::Cow;
@@ -21,7 +21,7 @@
 /// not reading, and is let go.
 const SLOTS: usize = 8;
 /// With so many bytes of answers unread, a client's further commands wait.
-const HIGH: usize = 4 * MAX_VALUE;
+const HIGH: usize = 4 * MAX_BUFFERED_VALUE_BYTES;
 /// What an idle connection keeps of its buffer.
 const KEPT: usize = 4 << 10;
 /// A client may take 2 s to write a command. One that has asked for nothing so long after connecting, or whose
@@ -125,7 +125,7 @@
     }
 
     fn idle(&self) -> bool {
-        self.slots.is_empty() && self.backlog() == 0 && !self.parser.midway()
+        self.slots.is_empty() && self.backlog() == 0 && !self.parser.in_progress()
     }
 
     /// Idle, and no command is waiting to be read: it may be closed.
@@ -151,7 +151,7 @@
     limit: usize,
     /// Commands that a connection may have open; more are refused.
     depth: usize,
-    room: Room,
+    room: MemoryBudget,
     /// Bytes of answers that clients have yet to read, and how many there may be.
     backlog: usize,
     max_backlog: usize,
@@ -190,7 +190,7 @@
             next_id: 1,
             limit,
             depth,
-            room: Room::new(memory),
+            room: MemoryBudget::new(memory),
             backlog: 0,
             max_backlog: memory,
             accepting: false,
@@ -339,7 +339,7 @@
             // Guards against clients that ask faster than they read; the sockets between hold the rest.
             client.held_up = client.backlog() > HIGH;
             // Danger: to read to its end what a client still sends after its error takes the time of others.
-            if client.held_up || client.parser.waits_for_room() || client.dropped > LINGER_BYTES {
+            if client.held_up || client.parser.waits_for_memory() || client.dropped > LINGER_BYTES {
                 return;
             }
             match client.stream.read(buffer) {
@@ -392,10 +392,10 @@
                 Ok((used, command)) => {
                     input = &input[used..];
                     client.midway_since = match command {
-                        None if client.parser.midway() => client.midway_since.or(Some(now)),
+                        None if client.parser.in_progress() => client.midway_since.or(Some(now)),
                         _ => None,
                     };
-                    if client.parser.waits_for_room() {
+                    if client.parser.waits_for_memory() {
                         client.pending.extend_from_slice(input);
                         self.waiting.push_back(key);
                         return;
@@ -418,8 +418,8 @@
     pub fn admit(&mut self, config: &Config, now: Nanos) {
         while let Some(key) = self.waiting.front().copied() {
             // Another connection may have come to this place.
-            if let Some(client) = self.all.get_mut(key).filter(|c| c.parser.waits_for_room()) {
-                if !client.parser.try_room() {
+            if let Some(client) = self.all.get_mut(key).filter(|c| c.parser.waits_for_memory()) {
+                if !client.parser.retry_reservation() {
                     return;
                 }
                 client.moved = now;
@@ -442,7 +442,7 @@
             self.reply_next(key, &answer.bytes);
             return;
         }
-        let whole = command.is_whole();
+        let whole = command.is_complete();
         let query = Query::read(command, config).map_err(Cow::from).and_then(|query| {
             client.session.may_ask_for(query.tenant, &self.users).map_err(Cow::from).map(|()| query)
         });
@@ -501,7 +501,7 @@
     /// How many bytes of a long value one client may have unread: a part of the room that is left, so that a few
     /// slow clients have much and many have little each.
     fn share(&self) -> usize {
-        (self.max_backlog.saturating_sub(self.backlog) / SHARE).clamp(MAX_VALUE, LARGEST)
+        (self.max_backlog.saturating_sub(self.backlog) / SHARE).clamp(MAX_BUFFERED_VALUE_BYTES, LARGEST)
     }
 
     /// The slot at a place, and where that is in the order of answers.
@@ -512,7 +512,7 @@
     }
 
     /// Begins a request's answer, a long value.
-    pub fn begin(&mut self, place: Place, shape: Shape, length: usize) {
+    pub fn begin(&mut self, place: Place, shape: BodyFormat, length: usize) {
         let Some((client, at)) = self.slot(place) else { return };
         let Slot::Waiting(id, protocol) = client.slots[at] else { return };
         let mut head = Vec::new();
@@ -639,7 +639,7 @@
         if client.slots.is_empty() && client.backlog() == 0 {
             if client.eof {
                 self.remove(key);
-            } else if client.closing || (self.stopping && !client.parser.midway()) {
+            } else if client.closing || (self.stopping && !client.parser.in_progress()) {
                 self.linger(key, now);
             }
         }
@@ -671,7 +671,7 @@
         let since = |at: Nanos, most: Nanos| now.saturating_sub(at) > most;
         let slow_since = |c: &Client, at: Nanos| match c.parser.in_value() {
             // What waits for room waits for us.
-            true => !c.parser.waits_for_room() && (since(c.moved, ASKING) || since(at, WRITING)),
+            true => !c.parser.waits_for_memory() && (since(c.moved, ASKING) || since(at, WRITING)),
             false => since(at, ASKING),
         };
         let (mut gone, mut slow) = (Vec::new(), Vec::new());
--- a/crates/proxy/src/observers.rs
+++ b/crates/proxy/src/observers.rs
@@ -156,8 +156,8 @@
         let mut observers = Observers::default();
         observers.subscribers.push(Box::new(Heard(std::rc::Rc::clone(&heard))));
         observers.tell(Told::Arrived);
-        observers.tell(Told::Push(7, &[Frame::text("invalidate"), Frame::Null]));
-        assert_eq!(*heard.borrow(), [(7, Frame::text("invalidate"))]);
+        observers.tell(Told::Push(7, &[Frame::bulk_string("invalidate"), Frame::Null]));
+        assert_eq!(*heard.borrow(), [(7, Frame::bulk_string("invalidate"))]);
         assert_eq!((observers.counters.accepted, observers.counters.pushes), (1, 1));
     }
 
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -344,11 +344,11 @@
 #[cfg(test)]
 pub(crate) mod tests {
     use super::*;
-    use resp::{CommandParser, Room};
+    use resp::{CommandParser, MemoryBudget};
 
     /// A read as a client sends it.
     pub fn query(config: &Config) -> Rc<Query> {
-        let mut parser = CommandParser::new(Room::new(0));
+        let mut parser = CommandParser::new(MemoryBudget::new(0));
         let bytes = b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\n1\r\n$1\r\na\r\n$12\r\nc=read,d=500\r\n";
         let (_, command) = parser.feed(bytes).expect("a command");
         Rc::new(Query::read(command.expect("whole"), config).expect("a read"))
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -17,7 +17,7 @@
 use control::State;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Registry};
-use resp::{Kind, Reply, ReplyParser};
+use resp::{Reply, ReplyKind, ReplyParser};
 use shadow::sample::{Digest, Tenants, WHOLE};
 use shadow::verdict::Tolerance;
 use shadow::{Copy, Ended, Kept, Read, Refused, Settings, Shadow, Side, Vitals};
@@ -309,10 +309,10 @@
         let value = link.bytes.get(reply.value.clone()).unwrap_or_default();
         let side = match reply.kind {
             _ if long || value.len() > self.longest || used < input.len() => Side::Error,
-            Kind::Served => Side::Value(Digest::of(value)),
-            Kind::Busy => Side::Busy,
-            Kind::Failed if link.bytes.first() == Some(&b'*') => Side::Missing,
-            Kind::Failed => Side::Error,
+            ReplyKind::Served => Side::Value(Digest::of(value)),
+            ReplyKind::Busy => Side::Busy,
+            ReplyKind::Failed if link.bytes.first() == Some(&b'*') => Side::Missing,
+            ReplyKind::Failed => Side::Error,
         };
         (link.copy, link.moved) = (None, now);
         link.bytes.clear();
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -9,7 +9,7 @@
 use crate::request::Place;
 use crate::Proxy;
 use calicosaddle::api::RequestId;
-use resp::{Reply, Shape};
+use resp::{BodyFormat, Reply};
 use rustc_hash::FxHashMap;
 
 /// A value on its way.
@@ -35,7 +35,7 @@
 impl Proxy {
     /// A value begins to come on a connection to a cache node. If its request is answered already, what comes is
     /// dropped.
-    pub(crate) fn begun(&mut self, id: RequestId, from: usize, shape: Shape, length: usize) {
+    pub(crate) fn begun(&mut self, id: RequestId, from: usize, shape: BodyFormat, length: usize) {
         let Some((place, class)) = self.requests.answer(id) else { return };
         self.clients.begin(place, shape, length);
         self.passing.0.insert(id, Value { place, class, from });
--- a/crates/proxy/tests/pipeline.rs
+++ b/crates/proxy/tests/pipeline.rs
@@ -1,6 +1,6 @@
 //! Commands behind one another, on connections to scripted boxes and from scripted clients, before the built binary.
 
-use resp::{Command, CommandParser, Room};
+use resp::{Command, CommandParser, MemoryBudget};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -64,7 +64,7 @@
 
 impl Speaker {
     fn new(plan: Break, record: Record) -> Speaker {
-        Speaker { parser: CommandParser::new(Room::new(1 << 20)), three: plan.resp3, record }
+        Speaker { parser: CommandParser::new(MemoryBudget::new(1 << 20)), three: plan.resp3, record }
     }
 
     fn answer(&mut self, command: &Command) -> Vec<u8> {
@@ -358,7 +358,7 @@
         let sent = sent.clone();
         std::thread::spawn(move || {
             stream.set_nodelay(true).expect("no delay");
-            let (mut parser, mut buffer) = (CommandParser::new(Room::new(1 << 20)), [0; 4 << 10]);
+            let (mut parser, mut buffer) = (CommandParser::new(MemoryBudget::new(1 << 20)), [0; 4 << 10]);
             while let Ok(n @ 1..) = stream.read(&mut buffer) {
                 let (mut piece, mut out) = (&buffer[..n], Vec::new());
                 while let (false, Ok((used, command))) = (piece.is_empty(), parser.feed(piece)) {
--- a/crates/resp/benches/codec.rs
+++ b/crates/resp/benches/codec.rs
@@ -5,7 +5,7 @@
 //! ```
 
 use redis_protocol::{resp2, resp3};
-use resp::{Frames, Item, Kind, Protocol, ReplyReader};
+use resp::{FrameReader, Protocol, ReplyKind, ReplyReader, ServerMessage};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -25,7 +25,8 @@
     for mut piece in input.chunks(16 << 10) {
         while !piece.is_empty() {
             let (used, item) = reader.feed(piece).expect("reads");
-            served += usize::from(matches!(item, Some(Item::Reply(r, _)) if r.kind == Kind::Served));
+            served +=
+                usize::from(matches!(item, Some(ServerMessage::Reply(r, _)) if r.kind == ReplyKind::Served));
             piece = &piece[used..];
         }
     }
@@ -33,7 +34,7 @@
 }
 
 fn frames(input: &[u8]) -> usize {
-    let (mut frames, mut all) = (Frames::default(), 0);
+    let (mut frames, mut all) = (FrameReader::default(), 0);
     for mut piece in input.chunks(16 << 10) {
         while !piece.is_empty() {
             let (used, frame) = frames.feed(piece).expect("reads");
--- a/crates/resp/fuzz/fuzz_targets/frames.rs
+++ b/crates/resp/fuzz/fuzz_targets/frames.rs
@@ -3,10 +3,10 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use resp::{Broken, Frame, Frames, Limits, Protocol};
+use resp::{Frame, FrameReader, Limits, Protocol, ProtocolError};
 
-fn read(pieces: [&[u8]; 2], limits: Limits) -> Result<Vec<Frame>, (Vec<Frame>, Broken)> {
-    let (mut frames, mut all) = (Frames::new(limits), Vec::new());
+fn read(pieces: [&[u8]; 2], limits: Limits) -> Result<Vec<Frame>, (Vec<Frame>, ProtocolError)> {
+    let (mut frames, mut all) = (FrameReader::new(limits), Vec::new());
     for mut piece in pieces {
         while !piece.is_empty() {
             match frames.feed(piece) {
--- a/crates/resp/fuzz/fuzz_targets/replies.rs
+++ b/crates/resp/fuzz/fuzz_targets/replies.rs
@@ -3,9 +3,9 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use resp::{Greeting, Item, Kind, Protocol, ReplyReader};
+use resp::{HelloReplyParser, Protocol, ReplyKind, ReplyReader, ServerMessage};
 
-fn read(pieces: [&[u8]; 2], protocol: Protocol) -> (Vec<(Item, Vec<u8>)>, bool) {
+fn read(pieces: [&[u8]; 2], protocol: Protocol) -> (Vec<(ServerMessage, Vec<u8>)>, bool) {
     let (mut reader, mut all, mut raw) = (ReplyReader::new(protocol), Vec::new(), Vec::new());
     for mut piece in pieces {
         while !piece.is_empty() {
@@ -29,10 +29,10 @@
         let halves = read([&input[..at], &input[at..]], protocol);
         assert_eq!(format!("{whole:?}"), format!("{halves:?}"));
         for (item, raw) in whole.0 {
-            let Item::Reply(reply, value) = item else { continue };
+            let ServerMessage::Reply(reply, value) = item else { continue };
             // RESP2 takes any bytes as a note; a box that speaks RESP3 is held to text.
             let text = [&reply.note, &reply.load].into_iter().flatten().all(|b| (32..127).contains(b));
-            if reply.kind != Kind::Served || !text {
+            if reply.kind != ReplyKind::Served || !text {
                 continue;
             }
             let bytes = if protocol == Protocol::Two { &raw } else { &value };
@@ -40,12 +40,12 @@
                 let mut out = Vec::new();
                 reply.write(bytes, to, &mut out);
                 let (back, good) = read([&out, &[]], to);
-                let Some((Item::Reply(again, _), _)) = back.first() else { panic!("{reply:?} as {to:?}") };
-                assert!(good && back.len() == 1 && again.kind == Kind::Served);
+                let Some((ServerMessage::Reply(again, _), _)) = back.first() else { panic!("{reply:?} as {to:?}") };
+                assert!(good && back.len() == 1 && again.kind == ReplyKind::Served);
                 assert_eq!((&again.note, &again.load), (&reply.note, &reply.load));
             }
         }
     }
-    let mut greeting = Greeting::default();
+    let mut greeting = HelloReplyParser::default();
     let _ = greeting.feed(&input[..at]).and_then(|_| greeting.feed(&input[at..]));
 });
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,8 +1,8 @@
 //! The commands of clients: arrays of bulk strings, in both protocols.
 
 use crate::number::Number;
-use crate::room::Lease;
-use crate::{Broken, Room, MAX_LONG, MAX_VALUE};
+use crate::room::Reservation;
+use crate::{MemoryBudget, ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES};
 
 /// Arguments that a command may have; `CACHE.SET` has five.
 const MAX_ARGS: usize = 16;
@@ -20,7 +20,7 @@
     count: usize,
     /// False if a value was dropped for want of room.
     whole: bool,
-    leases: Vec<Lease>,
+    leases: Vec<Reservation>,
 }
 
 impl Command {
@@ -30,7 +30,7 @@
     }
 
     /// False if memory was short and a value had to be dropped.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole
     }
 
@@ -63,7 +63,7 @@
 /// Parses the commands on a client's connection.
 #[derive(Debug)]
 pub struct CommandParser {
-    room: Room,
+    room: MemoryBudget,
     state: CommandState,
     left: i64,
     command: Command,
@@ -71,12 +71,12 @@
 
 impl CommandParser {
     /// A parser at the start of a connection; long values take from `room`.
-    pub fn new(room: Room) -> Self {
+    pub fn new(room: MemoryBudget) -> Self {
         CommandParser { room, state: CommandState::Start, left: 0, command: Command::default() }
     }
 
     /// True if a command has begun and not ended.
-    pub fn midway(&self) -> bool {
+    pub fn in_progress(&self) -> bool {
         !matches!(self.state, CommandState::Start)
     }
 
@@ -87,23 +87,23 @@
     }
 
     /// True if nothing more is taken before there is room for the value that comes next.
-    pub fn waits_for_room(&self) -> bool {
+    pub fn waits_for_memory(&self) -> bool {
         matches!(self.state, CommandState::Wait(_))
     }
 
     /// Asks for that room again; true if nothing is waited for.
-    pub fn try_room(&mut self) -> bool {
+    pub fn retry_reservation(&mut self) -> bool {
         if let CommandState::Wait(length) = self.state {
             self.begin(length);
         }
-        !self.waits_for_room()
+        !self.waits_for_memory()
     }
 
     /// Takes input up to the end of a command; tells how much it took, and the command once it is whole. It takes
     /// less, perhaps nothing, where it comes to wait for room.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Command>), Broken> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Command>), ProtocolError> {
         let mut at = 0;
-        while at < input.len() && !self.waits_for_room() {
+        while at < input.len() && !self.waits_for_memory() {
             if let CommandState::Body { left, keep } = &mut self.state {
                 let part = &input[at..input.len().min(at + *left)];
                 if *keep {
@@ -127,14 +127,16 @@
     }
 
     /// Takes a byte outside of an argument's body; true if it ended the command.
-    fn byte(&mut self, byte: u8) -> Result<bool, Broken> {
+    fn byte(&mut self, byte: u8) -> Result<bool, ProtocolError> {
         match &mut self.state {
             CommandState::Start if byte == b'*' => self.state = CommandState::Count(Number::default()),
-            CommandState::Start => return Err(Broken("expected '*'")),
+            CommandState::Start => return Err(ProtocolError("expected '*'")),
             CommandState::Count(number) => match number.push(byte)? {
                 None => {}
                 Some(0) => self.state = CommandState::Start,
-                Some(n) if n < 0 || n > MAX_ARGS as i64 => return Err(Broken("invalid multibulk length")),
+                Some(n) if n < 0 || n > MAX_ARGS as i64 => {
+                    return Err(ProtocolError("invalid multibulk length"))
+                }
                 Some(n) => {
                     self.left = n;
                     self.command.whole = true;
@@ -143,12 +145,13 @@
                 }
             },
             CommandState::Dollar if byte == b'$' => self.state = CommandState::Length(Number::default()),
-            CommandState::Dollar => return Err(Broken("expected '$'")),
+            CommandState::Dollar => return Err(ProtocolError("expected '$'")),
             CommandState::Length(number) => {
                 if let Some(n) = number.push(byte)? {
-                    let most = if self.command.count == VALUE_AT { MAX_LONG } else { SMALL_ARG };
+                    let most =
+                        if self.command.count == VALUE_AT { MAX_STREAMED_VALUE_BYTES } else { SMALL_ARG };
                     let length = usize::try_from(n).ok().filter(|n| *n <= most);
-                    let length = length.ok_or(Broken("invalid bulk length"))?;
+                    let length = length.ok_or(ProtocolError("invalid bulk length"))?;
                     self.begin(length);
                 }
             }
@@ -160,7 +163,7 @@
                 self.state = CommandState::Dollar;
                 return Ok(self.left == 0);
             }
-            _ => return Err(Broken("expected a line end")),
+            _ => return Err(ProtocolError("expected a line end")),
         }
         Ok(false)
     }
@@ -176,7 +179,7 @@
                     self.command.bytes.reserve_exact(length);
                 }
                 // Not read on, a longer one keeps its sender waiting and costs no memory here.
-                None if length > MAX_VALUE && length <= self.room.all() => {
+                None if length > MAX_BUFFERED_VALUE_BYTES && length <= self.room.all() => {
                     self.state = CommandState::Wait(length);
                     return;
                 }
--- a/crates/resp/src/decode.rs
+++ b/crates/resp/src/decode.rs
@@ -1,7 +1,7 @@
 //! Frames of RESP2 and RESP3 as events, one pass over the input, with bounds on all that a peer can say.
 
 use crate::number::Number;
-use crate::{Broken, MAX_LINE, MAX_VALUE};
+use crate::{ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_LINE};
 
 /// What one frame may be at the most, streamed forms and all that is nested in it counted.
 #[derive(Clone, Copy, Debug)]
@@ -18,13 +18,18 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { depth: 16, elements: 1 << 10, blob: MAX_VALUE, bytes: 4 * MAX_VALUE }
+        Limits {
+            depth: 16,
+            elements: 1 << 10,
+            blob: MAX_BUFFERED_VALUE_BYTES,
+            bytes: 4 * MAX_BUFFERED_VALUE_BYTES,
+        }
     }
 }
 
 /// Frames that hold others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum Aggregate {
     /// In order.
     Array,
     /// In no order.
@@ -39,9 +44,9 @@
 
 /// Frames of bytes that are told their length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blob {
+pub enum BlobKind {
     /// Any bytes.
-    Plain,
+    String,
     /// An error.
     Error,
     /// A text, and how it is written: `txt` or `mkd`.
@@ -62,24 +67,24 @@
     /// `(`, its text checked.
     BigNumber(&'a [u8]),
     /// `+`
-    Simple(&'a [u8]),
+    SimpleString(&'a [u8]),
     /// `-`
-    Error(&'a [u8]),
+    SimpleError(&'a [u8]),
     /// A blob begins, of so many bytes if that is told (0 if not), ...
-    Blob(Blob, usize),
+    BlobBegin(BlobKind, usize),
     /// ... some of its bytes, ...
-    Bytes(&'a [u8]),
+    BlobBytes(&'a [u8]),
     /// ... and it is whole.
     BlobEnd,
     /// A group begins, and how many elements it has if that is told.
-    Begin(Group, Option<usize>),
+    AggregateBegin(Aggregate, Option<usize>),
     /// The group that began last is whole.
-    End(Group),
+    AggregateEnd(Aggregate),
 }
 
 /// What was ended by the last byte that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whole {
+pub enum Completed {
     /// A frame at the top.
     Frame,
     /// A push, wherever it stood.
@@ -90,9 +95,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Level {
     /// A group, and how many elements are to come.
-    Counted(Group, usize),
+    Counted(Aggregate, usize),
     /// A group that says when it ends; its elements so far are odd in number.
-    Streamed(Group, bool),
+    Streamed(Aggregate, bool),
     /// A string that says when it ends, and its bytes so far.
     Chunks(usize),
 }
@@ -104,8 +109,8 @@
     Integer,
     Double,
     BigNumber,
-    Simple,
-    Error,
+    SimpleString,
+    SimpleError,
 }
 
 impl Line {
@@ -116,7 +121,7 @@
             Line::Boolean => 1,
             Line::Integer => 20,
             Line::Double => 128,
-            Line::BigNumber | Line::Simple | Line::Error => MAX_LINE,
+            Line::BigNumber | Line::SimpleString | Line::SimpleError => MAX_LINE,
         }
     }
 }
@@ -127,14 +132,14 @@
     Blob,
     BlobError,
     Verbatim,
-    Group(Group),
+    Aggregate(Aggregate),
     Chunk,
 }
 
 impl Header {
     /// RESP3 has it without a length.
     fn streams(self) -> bool {
-        matches!(self, Header::Blob | Header::Group(Group::Array | Group::Set | Group::Map))
+        matches!(self, Header::Blob | Header::Aggregate(Aggregate::Array | Aggregate::Set | Aggregate::Map))
     }
 }
 
@@ -197,7 +202,7 @@
     }
 
     /// True if a frame has begun and not ended.
-    pub fn midway(&self) -> bool {
+    pub fn in_progress(&self) -> bool {
         !matches!(self.state, State::Type) || !self.levels.is_empty() || self.spent.attributed
     }
 
@@ -208,8 +213,8 @@
     pub fn feed(
         &mut self,
         input: &[u8],
-        mut tell: impl FnMut(Event<'_>) -> Result<(), Broken>,
-    ) -> Result<(usize, Option<Whole>), Broken> {
+        mut tell: impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+    ) -> Result<(usize, Option<Completed>), ProtocolError> {
         let mut at = 0;
         while at < input.len() {
             match &mut self.state {
@@ -220,7 +225,7 @@
                     if *left == 0 {
                         self.state = State::BodyEnd(false);
                     }
-                    tell(Event::Bytes(part))?;
+                    tell(Event::BlobBytes(part))?;
                     continue;
                 }
                 State::Line(kind) => {
@@ -228,13 +233,13 @@
                     let end = memchr::memchr2(b'\r', b'\n', rest);
                     let part = &rest[..end.unwrap_or(rest.len())];
                     if self.line.len() + part.len() > kind.most() {
-                        return Err(Broken("line is too long"));
+                        return Err(ProtocolError("line is too long"));
                     }
                     self.line.extend_from_slice(part);
                     at += part.len();
                     if end.is_some() {
                         if input[at] == b'\n' {
-                            return Err(Broken("expected a line end"));
+                            return Err(ProtocolError("expected a line end"));
                         }
                         self.state = State::LineEnd(*kind);
                         at += 1;
@@ -255,8 +260,8 @@
     fn byte(
         &mut self,
         byte: u8,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), Broken>,
-    ) -> Result<Option<Whole>, Broken> {
+        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+    ) -> Result<Option<Completed>, ProtocolError> {
         match &mut self.state {
             State::Type => self.begin(byte)?,
             State::LineEnd(kind) if byte == b'\n' => {
@@ -274,12 +279,12 @@
             State::Unknown(header, false) if byte == b'\r' => self.state = State::Unknown(*header, true),
             State::Unknown(header, true) if byte == b'\n' => {
                 let level = match *header {
-                    Header::Group(group) => {
-                        tell(Event::Begin(group, None))?;
+                    Header::Aggregate(group) => {
+                        tell(Event::AggregateBegin(group, None))?;
                         Level::Streamed(group, false)
                     }
                     _ => {
-                        tell(Event::Blob(Blob::Plain, 0))?;
+                        tell(Event::BlobBegin(BlobKind::String, 0))?;
                         Level::Chunks(0)
                     }
                 };
@@ -291,10 +296,10 @@
                 if *got == format.len() {
                     let [a, b, c, colon] = *format;
                     if colon != b':' {
-                        return Err(Broken("a verbatim string has no format"));
+                        return Err(ProtocolError("a verbatim string has no format"));
                     }
                     let left = *length;
-                    tell(Event::Blob(Blob::Verbatim([a, b, c]), left))?;
+                    tell(Event::BlobBegin(BlobKind::Verbatim([a, b, c]), left))?;
                     self.body(left);
                 }
             }
@@ -311,29 +316,31 @@
             State::Dot(true) if byte == b'\n' => {
                 self.state = State::Type;
                 let Some(Level::Streamed(group, _)) = self.levels.pop() else {
-                    return Err(Broken("nothing to end"));
+                    return Err(ProtocolError("nothing to end"));
                 };
-                tell(Event::End(group))?;
+                tell(Event::AggregateEnd(group))?;
                 return self.complete(tell);
             }
-            _ => return Err(Broken("expected a line end")),
+            _ => return Err(ProtocolError("expected a line end")),
         }
         Ok(None)
     }
 
-    fn begin(&mut self, byte: u8) -> Result<(), Broken> {
+    fn begin(&mut self, byte: u8) -> Result<(), ProtocolError> {
         let header = |header| State::Length(header, Number::default());
         let chunks = matches!(self.levels.last(), Some(Level::Chunks(_)));
         self.state = match byte {
-            b'>' if self.outer.is_some() => return Err(Broken("a push within a push")),
-            b'>' => header(Header::Group(Group::Push)),
+            b'>' if self.outer.is_some() => return Err(ProtocolError("a push within a push")),
+            b'>' => header(Header::Aggregate(Aggregate::Push)),
             b';' if chunks => header(Header::Chunk),
-            _ if chunks => return Err(Broken("expected a chunk")),
-            b'|' => header(Header::Group(Group::Attribute)),
+            _ if chunks => return Err(ProtocolError("expected a chunk")),
+            b'|' => header(Header::Aggregate(Aggregate::Attribute)),
             b'.' => match self.levels.last() {
-                Some(Level::Streamed(Group::Map, true)) => return Err(Broken("a key without a value")),
+                Some(Level::Streamed(Aggregate::Map, true)) => {
+                    return Err(ProtocolError("a key without a value"))
+                }
                 Some(Level::Streamed(..)) if !self.spent.attributed => State::Dot(false),
-                _ => return Err(Broken("nothing to end")),
+                _ => return Err(ProtocolError("nothing to end")),
             },
             _ => {
                 self.spent.attributed = false;
@@ -341,17 +348,17 @@
                     b'$' => header(Header::Blob),
                     b'!' => header(Header::BlobError),
                     b'=' => header(Header::Verbatim),
-                    b'*' => header(Header::Group(Group::Array)),
-                    b'~' => header(Header::Group(Group::Set)),
-                    b'%' => header(Header::Group(Group::Map)),
+                    b'*' => header(Header::Aggregate(Aggregate::Array)),
+                    b'~' => header(Header::Aggregate(Aggregate::Set)),
+                    b'%' => header(Header::Aggregate(Aggregate::Map)),
                     b'_' => State::Line(Line::Null),
                     b'#' => State::Line(Line::Boolean),
                     b':' => State::Line(Line::Integer),
                     b',' => State::Line(Line::Double),
                     b'(' => State::Line(Line::BigNumber),
-                    b'+' => State::Line(Line::Simple),
-                    b'-' => State::Line(Line::Error),
-                    _ => return Err(Broken("unknown type")),
+                    b'+' => State::Line(Line::SimpleString),
+                    b'-' => State::Line(Line::SimpleError),
+                    _ => return Err(ProtocolError("unknown type")),
                 }
             }
         };
@@ -362,21 +369,21 @@
     fn line(
         &mut self,
         kind: Line,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), Broken>,
-    ) -> Result<Option<Whole>, Broken> {
+        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+    ) -> Result<Option<Completed>, ProtocolError> {
         self.state = State::Type;
         self.spend(0, self.line.len())?;
         let text = &self.line[..];
         tell(match kind {
             Line::Null => Event::Null,
             Line::Boolean if text == b"t" || text == b"f" => Event::Boolean(text == b"t"),
-            Line::Boolean => return Err(Broken("invalid boolean")),
-            Line::Integer => Event::Integer(integer(text).ok_or(Broken("invalid number"))?),
-            Line::Double => Event::Double(double(text).ok_or(Broken("invalid double"))?, text),
+            Line::Boolean => return Err(ProtocolError("invalid boolean")),
+            Line::Integer => Event::Integer(integer(text).ok_or(ProtocolError("invalid number"))?),
+            Line::Double => Event::Double(double(text).ok_or(ProtocolError("invalid double"))?, text),
             Line::BigNumber if digits(unsigned(text)) => Event::BigNumber(text),
-            Line::BigNumber => return Err(Broken("invalid big number")),
-            Line::Simple => Event::Simple(text),
-            Line::Error => Event::Error(text),
+            Line::BigNumber => return Err(ProtocolError("invalid big number")),
+            Line::SimpleString => Event::SimpleString(text),
+            Line::SimpleError => Event::SimpleError(text),
         })?;
         self.complete(tell)
     }
@@ -385,44 +392,44 @@
         &mut self,
         header: Header,
         length: i64,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), Broken>,
-    ) -> Result<Option<Whole>, Broken> {
+        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+    ) -> Result<Option<Completed>, ProtocolError> {
         self.state = State::Type;
-        if length == -1 && matches!(header, Header::Blob | Header::Group(Group::Array)) {
+        if length == -1 && matches!(header, Header::Blob | Header::Aggregate(Aggregate::Array)) {
             tell(Event::Null)?;
             return self.complete(tell);
         }
-        let length = usize::try_from(length).map_err(|_| Broken("invalid length"))?;
-        if let Header::Group(group) = header {
+        let length = usize::try_from(length).map_err(|_| ProtocolError("invalid length"))?;
+        if let Header::Aggregate(group) = header {
             let count = match group {
-                Group::Map | Group::Attribute => length.saturating_mul(2),
-                Group::Push if length == 0 => return Err(Broken("an empty push")),
+                Aggregate::Map | Aggregate::Attribute => length.saturating_mul(2),
+                Aggregate::Push if length == 0 => return Err(ProtocolError("an empty push")),
                 _ => length,
             };
-            if group == Group::Push {
+            if group == Aggregate::Push {
                 self.outer = Some(std::mem::take(&mut self.spent));
             }
             self.spend(count, 0)?;
-            tell(Event::Begin(group, Some(length)))?;
+            tell(Event::AggregateBegin(group, Some(length)))?;
             self.push(Level::Counted(group, count))?;
             return if count == 0 { self.close(tell) } else { Ok(None) };
         }
         if length > self.limits.blob {
-            return Err(Broken("invalid bulk length"));
+            return Err(ProtocolError("invalid bulk length"));
         }
         self.spend(0, length)?;
         match header {
             Header::Verbatim => {
-                let text = length.checked_sub(4).ok_or(Broken("a verbatim string has no format"))?;
+                let text = length.checked_sub(4).ok_or(ProtocolError("a verbatim string has no format"))?;
                 self.state = State::Format([0; 4], 0, text);
             }
             Header::Chunk => {
                 let Some(Level::Chunks(sum)) = self.levels.last_mut() else {
-                    return Err(Broken("a chunk of nothing"));
+                    return Err(ProtocolError("a chunk of nothing"));
                 };
                 *sum += length;
                 if *sum > self.limits.blob {
-                    return Err(Broken("invalid bulk length"));
+                    return Err(ProtocolError("invalid bulk length"));
                 }
                 if length == 0 {
                     self.levels.pop();
@@ -432,8 +439,8 @@
                 self.state = State::Body(length);
             }
             _ => {
-                let blob = if header == Header::Blob { Blob::Plain } else { Blob::Error };
-                tell(Event::Blob(blob, length))?;
+                let blob = if header == Header::Blob { BlobKind::String } else { BlobKind::Error };
+                tell(Event::BlobBegin(blob, length))?;
                 self.body(length);
             }
         }
@@ -444,20 +451,20 @@
         self.state = if length == 0 { State::BodyEnd(false) } else { State::Body(length) };
     }
 
-    fn push(&mut self, level: Level) -> Result<(), Broken> {
+    fn push(&mut self, level: Level) -> Result<(), ProtocolError> {
         if self.levels.len() >= self.limits.depth {
-            return Err(Broken("nested too deep"));
+            return Err(ProtocolError("nested too deep"));
         }
         self.levels.push(level);
         self.state = State::Type;
         Ok(())
     }
 
-    fn spend(&mut self, elements: usize, bytes: usize) -> Result<(), Broken> {
+    fn spend(&mut self, elements: usize, bytes: usize) -> Result<(), ProtocolError> {
         self.spent.elements = self.spent.elements.saturating_add(elements);
         self.spent.bytes = self.spent.bytes.saturating_add(bytes);
         if self.spent.elements > self.limits.elements || self.spent.bytes > self.limits.bytes {
-            return Err(Broken("too long"));
+            return Err(ProtocolError("too long"));
         }
         Ok(())
     }
@@ -465,12 +472,12 @@
     /// A value is whole: it is an element of the group at hand, which may be whole with it.
     fn complete(
         &mut self,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), Broken>,
-    ) -> Result<Option<Whole>, Broken> {
+        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+    ) -> Result<Option<Completed>, ProtocolError> {
         match self.levels.last_mut() {
             None => {
                 self.spent = Spent::default();
-                return Ok(Some(Whole::Frame));
+                return Ok(Some(Completed::Frame));
             }
             Some(Level::Counted(_, left)) => {
                 *left -= 1;
@@ -482,7 +489,7 @@
                 *odd = !*odd;
                 self.spend(1, 0)?;
             }
-            Some(Level::Chunks(_)) => return Err(Broken("expected a chunk")),
+            Some(Level::Chunks(_)) => return Err(ProtocolError("expected a chunk")),
         }
         Ok(None)
     }
@@ -490,19 +497,19 @@
     /// Ends the groups that have all their elements. Attributes and pushes are no elements themselves.
     fn close(
         &mut self,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), Broken>,
-    ) -> Result<Option<Whole>, Broken> {
+        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+    ) -> Result<Option<Completed>, ProtocolError> {
         while let Some(Level::Counted(group, 0)) = self.levels.last().copied() {
             self.levels.pop();
-            tell(Event::End(group))?;
+            tell(Event::AggregateEnd(group))?;
             match (group, self.levels.last_mut()) {
-                (Group::Attribute, _) => {
+                (Aggregate::Attribute, _) => {
                     self.spent.attributed = true;
                     return Ok(None);
                 }
-                (Group::Push, _) => {
+                (Aggregate::Push, _) => {
                     self.spent = self.outer.take().unwrap_or_default();
-                    return Ok(Some(Whole::Push));
+                    return Ok(Some(Completed::Push));
                 }
                 (_, Some(Level::Counted(_, left))) => *left -= 1,
                 _ => return self.complete(tell),
--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -1,7 +1,7 @@
 //! Frames as trees: built from events, and written in either protocol. For what is rare or small: greetings,
 //! pushes, stand-ins. Depth and size are the decoder's to bound; nothing here recurses.
 
-use crate::{Blob, Broken, Decoder, Event, Group, Limits, Protocol, Whole};
+use crate::{Aggregate, BlobKind, Completed, Decoder, Event, Limits, Protocol, ProtocolError};
 use std::io::Write;
 
 /// A frame. Streamed forms are put together.
@@ -18,11 +18,11 @@
     /// An integer of any size, as its digits.
     BigNumber(Vec<u8>),
     /// A line.
-    Simple(Vec<u8>),
+    SimpleString(Vec<u8>),
     /// An error line.
-    Error(Vec<u8>),
+    SimpleError(Vec<u8>),
     /// Bytes, an error, or a text with its format.
-    Blob(Blob, Vec<u8>),
+    Blob(BlobKind, Vec<u8>),
     /// In order.
     Array(Vec<Frame>),
     /// In no order.
@@ -37,14 +37,16 @@
 
 impl Frame {
     /// A bulk string.
-    pub fn text(bytes: impl AsRef<[u8]>) -> Frame {
-        Frame::Blob(Blob::Plain, bytes.as_ref().to_vec())
+    pub fn bulk_string(bytes: impl AsRef<[u8]>) -> Frame {
+        Frame::Blob(BlobKind::String, bytes.as_ref().to_vec())
     }
 
     /// The bytes of a string of any kind, errors not counted.
     pub fn bytes(&self) -> Option<&[u8]> {
         match self {
-            Frame::Simple(text) | Frame::Blob(Blob::Plain | Blob::Verbatim(_), text) => Some(text),
+            Frame::SimpleString(text) | Frame::Blob(BlobKind::String | BlobKind::Verbatim(_), text) => {
+                Some(text)
+            }
             _ => None,
         }
     }
@@ -52,7 +54,7 @@
     /// The text of an error of either kind.
     pub fn error(&self) -> Option<&[u8]> {
         match self {
-            Frame::Error(text) | Frame::Blob(Blob::Error, text) => Some(text),
+            Frame::SimpleError(text) | Frame::Blob(BlobKind::Error, text) => Some(text),
             _ => None,
         }
     }
@@ -83,14 +85,14 @@
                 Frame::Double(d) => blob(b'$', &[], number(*d).as_bytes(), out),
                 Frame::BigNumber(digits) if three => line(b'(', digits, out),
                 Frame::BigNumber(digits) => blob(b'$', &[], digits, out),
-                Frame::Simple(text) => line(b'+', text, out),
-                Frame::Error(text) => line(b'-', text, out),
-                Frame::Blob(Blob::Error, text) if three => blob(b'!', &[], text, out),
-                Frame::Blob(Blob::Error, text) => {
+                Frame::SimpleString(text) => line(b'+', text, out),
+                Frame::SimpleError(text) => line(b'-', text, out),
+                Frame::Blob(BlobKind::Error, text) if three => blob(b'!', &[], text, out),
+                Frame::Blob(BlobKind::Error, text) => {
                     let flat = |b: &u8| if matches!(b, b'\r' | b'\n') { b' ' } else { *b };
                     line(b'-', &text.iter().map(flat).collect::<Vec<u8>>(), out);
                 }
-                Frame::Blob(Blob::Verbatim([a, b, c]), text) if three => {
+                Frame::Blob(BlobKind::Verbatim([a, b, c]), text) if three => {
                     blob(b'=', &[*a, *b, *c, b':'], text, out);
                 }
                 Frame::Blob(_, text) => blob(b'$', &[], text, out),
@@ -155,20 +157,20 @@
 }
 
 #[derive(Debug)]
-enum Part {
-    Group(Group, Vec<Frame>),
-    Blob(Blob, Vec<u8>),
+enum OpenFrame {
+    Aggregate(Aggregate, Vec<Frame>),
+    Blob(BlobKind, Vec<u8>),
     /// A whole attribute, before its value.
     Told(Vec<(Frame, Frame)>),
 }
 
 /// Puts events together.
 #[derive(Debug, Default)]
-pub struct Builder {
-    parts: Vec<Part>,
+pub struct FrameBuilder {
+    parts: Vec<OpenFrame>,
 }
 
-impl Builder {
+impl FrameBuilder {
     /// Takes an event; the frame that it made whole, if that is an element of nothing: one at the top, or a push.
     pub fn take(&mut self, event: Event<'_>) -> Option<Frame> {
         let frame = match event {
@@ -177,36 +179,36 @@
             Event::Integer(n) => Frame::Integer(n),
             Event::Double(d, _) => Frame::Double(d),
             Event::BigNumber(digits) => Frame::BigNumber(digits.to_vec()),
-            Event::Simple(text) => Frame::Simple(text.to_vec()),
-            Event::Error(text) => Frame::Error(text.to_vec()),
-            Event::Blob(blob, length) => {
-                self.parts.push(Part::Blob(blob, Vec::with_capacity(length)));
+            Event::SimpleString(text) => Frame::SimpleString(text.to_vec()),
+            Event::SimpleError(text) => Frame::SimpleError(text.to_vec()),
+            Event::BlobBegin(blob, length) => {
+                self.parts.push(OpenFrame::Blob(blob, Vec::with_capacity(length)));
                 return None;
             }
-            Event::Bytes(bytes) => {
-                if let Some(Part::Blob(_, text)) = self.parts.last_mut() {
+            Event::BlobBytes(bytes) => {
+                if let Some(OpenFrame::Blob(_, text)) = self.parts.last_mut() {
                     text.extend_from_slice(bytes);
                 }
                 return None;
             }
-            Event::Begin(group, _) => {
-                self.parts.push(Part::Group(group, Vec::new()));
+            Event::AggregateBegin(group, _) => {
+                self.parts.push(OpenFrame::Aggregate(group, Vec::new()));
                 return None;
             }
             Event::BlobEnd => match self.parts.pop() {
-                Some(Part::Blob(blob, text)) => Frame::Blob(blob, text),
+                Some(OpenFrame::Blob(blob, text)) => Frame::Blob(blob, text),
                 _ => return None,
             },
-            Event::End(_) => match self.parts.pop() {
-                Some(Part::Group(Group::Array, all)) => Frame::Array(all),
-                Some(Part::Group(Group::Set, all)) => Frame::Set(all),
-                Some(Part::Group(Group::Map, all)) => Frame::Map(pairs(all)),
-                Some(Part::Group(Group::Push, all)) => return Some(Frame::Push(all)),
-                Some(Part::Group(Group::Attribute, all)) => {
+            Event::AggregateEnd(_) => match self.parts.pop() {
+                Some(OpenFrame::Aggregate(Aggregate::Array, all)) => Frame::Array(all),
+                Some(OpenFrame::Aggregate(Aggregate::Set, all)) => Frame::Set(all),
+                Some(OpenFrame::Aggregate(Aggregate::Map, all)) => Frame::Map(pairs(all)),
+                Some(OpenFrame::Aggregate(Aggregate::Push, all)) => return Some(Frame::Push(all)),
+                Some(OpenFrame::Aggregate(Aggregate::Attribute, all)) => {
                     // Several before one value are one: nested, they would go as deep as a peer likes.
                     match self.parts.last_mut() {
-                        Some(Part::Told(told)) => told.extend(pairs(all)),
-                        _ => self.parts.push(Part::Told(pairs(all))),
+                        Some(OpenFrame::Told(told)) => told.extend(pairs(all)),
+                        _ => self.parts.push(OpenFrame::Told(pairs(all))),
                     }
                     return None;
                 }
@@ -214,14 +216,14 @@
             },
         };
         let frame = match self.parts.pop() {
-            Some(Part::Told(told)) => Frame::Attribute(told, Box::new(frame)),
+            Some(OpenFrame::Told(told)) => Frame::Attribute(told, Box::new(frame)),
             part => {
                 self.parts.extend(part);
                 frame
             }
         };
         match self.parts.last_mut() {
-            Some(Part::Group(_, all)) => {
+            Some(OpenFrame::Aggregate(_, all)) => {
                 all.push(frame);
                 None
             }
@@ -237,34 +239,34 @@
 
 /// Reads frames as trees.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameReader {
     decoder: Decoder,
-    builder: Builder,
+    builder: FrameBuilder,
 }
 
-impl Frames {
+impl FrameReader {
     /// A reader at the start of a connection.
     pub fn new(limits: Limits) -> Self {
-        Frames { decoder: Decoder::new(limits), builder: Builder::default() }
+        FrameReader { decoder: Decoder::new(limits), builder: FrameBuilder::default() }
     }
 
     /// True if a frame has begun and not ended.
-    pub fn midway(&self) -> bool {
-        self.decoder.midway()
+    pub fn in_progress(&self) -> bool {
+        self.decoder.in_progress()
     }
 
     /// Takes input up to the end of a frame or of a push; tells how much it took, and the frame.
     ///
     /// # Errors
     /// The input is not the protocol's, or goes past a limit. Nothing can be understood after it.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Frame>), Broken> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Frame>), ProtocolError> {
         let mut whole = None;
         let builder = &mut self.builder;
         let (used, end) = self.decoder.feed(input, |event| {
             whole = builder.take(event).or(whole.take());
             Ok(())
         })?;
-        debug_assert_eq!(matches!(end, Some(Whole::Push)), matches!(whole, Some(Frame::Push(_))));
+        debug_assert_eq!(matches!(end, Some(Completed::Push)), matches!(whole, Some(Frame::Push(_))));
         Ok((used, whole))
     }
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -14,16 +14,16 @@
 mod three;
 
 pub use command::{Command, CommandParser};
-pub use decode::{Blob, Decoder, Event, Group, Limits, Whole};
-pub use frame::{Builder, Frame, Frames};
-pub use reply::{Kind, Part, Reply, ReplyParser, Shape};
-pub use room::Room;
-pub use three::{Greeted, Greeting, Item, ReplyReader};
+pub use decode::{Aggregate, BlobKind, Completed, Decoder, Event, Limits};
+pub use frame::{Frame, FrameBuilder, FrameReader};
+pub use reply::{BodyFormat, Reply, ReplyKind, ReplyParser, ReplyPart};
+pub use room::MemoryBudget;
+pub use three::{HelloOutcome, HelloReplyParser, ReplyReader, ServerMessage};
 
 /// The longest value that is handed on whole.
-pub const MAX_VALUE: usize = 64 << 10;
-/// The longest value there is. One over [`MAX_VALUE`] is handed on in parts as it comes.
-pub const MAX_LONG: usize = 4 << 20;
+pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
+/// The longest value there is. One over [`MAX_BUFFERED_VALUE_BYTES`] is handed on in parts as it comes.
+pub const MAX_STREAMED_VALUE_BYTES: usize = 4 << 20;
 /// The longest line, note or load report.
 const MAX_LINE: usize = 1 << 10;
 
@@ -49,4 +49,4 @@
 
 /// The peer does not speak the protocol, or goes past its bounds; nothing after this can be understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+pub struct ProtocolError(pub &'static str);
--- a/crates/resp/src/number.rs
+++ b/crates/resp/src/number.rs
@@ -1,6 +1,6 @@
 //! Lengths and counts.
 
-use crate::Broken;
+use crate::ProtocolError;
 
 /// No length or count has more digits.
 const MAX_DIGITS: u8 = 10;
@@ -16,7 +16,7 @@
 
 impl Number {
     /// Takes one byte; the number once its line has ended.
-    pub(crate) fn push(&mut self, byte: u8) -> Result<Option<i64>, Broken> {
+    pub(crate) fn push(&mut self, byte: u8) -> Result<Option<i64>, ProtocolError> {
         match byte {
             b'\n' if self.cr => Ok(Some(if self.negative { -self.value } else { self.value })),
             b'\r' if self.digits > 0 && !self.cr => {
@@ -32,7 +32,7 @@
                 self.digits += 1;
                 Ok(None)
             }
-            _ => Err(Broken("invalid number")),
+            _ => Err(ProtocolError("invalid number")),
         }
     }
 }
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,7 +1,7 @@
 //! The replies of cache nodes in RESP2, and what replies are in either protocol.
 
 use crate::number::Number;
-use crate::{Broken, Protocol, MAX_LINE, MAX_LONG, MAX_VALUE};
+use crate::{Protocol, ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_LINE, MAX_STREAMED_VALUE_BYTES};
 use std::io::Write;
 use std::ops::Range;
 
@@ -10,7 +10,7 @@
 
 /// What kind of reply a cache node gave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Kind {
+pub enum ReplyKind {
     /// A value or a receipt.
     Served,
     /// `-BUSY`: turned away unseen.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
     /// What kind it is.
-    pub kind: Kind,
+    pub kind: ReplyKind,
     /// How a read went (`hit`, `miss`, `pending`); empty if not told.
     pub note: Vec<u8>,
     /// The load report; empty if there is none.
@@ -32,17 +32,17 @@
     /// Where the value stands in the bytes that come with the reply.
     pub value: Range<usize>,
     /// What those bytes are.
-    pub shape: Shape,
+    pub shape: BodyFormat,
 }
 
 /// What the bytes are that come with a reply that serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Shape {
+pub enum BodyFormat {
     /// The whole reply in RESP2, as it stood on the wire.
     #[default]
-    Whole,
+    Resp2Reply,
     /// The value alone: a string, ...
-    Plain,
+    BlobString,
     /// ... a string with its format, ...
     Verbatim([u8; 3]),
     /// ... a double as it was written, ...
@@ -51,11 +51,11 @@
     BigNumber,
 }
 
-/// A part of a reply whose value is longer than [`MAX_VALUE`].
+/// A part of a reply whose value is longer than [`MAX_BUFFERED_VALUE_BYTES`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct ReplyPart {
     /// The first part: what the value is, and how many bytes it has.
-    pub head: Option<(Shape, usize)>,
+    pub head: Option<(BodyFormat, usize)>,
     /// Some of the value's bytes.
     pub bytes: Vec<u8>,
     /// The last part: all else that the reply tells.
@@ -75,7 +75,7 @@
     /// Takes in an error line: what kind it is, and the load report that may stand last.
     pub(crate) fn error(&mut self, line: &[u8]) {
         let word = line.split(|b| *b == b' ').next();
-        self.kind = if word == Some(b"BUSY") { Kind::Busy } else { Kind::Failed };
+        self.kind = if word == Some(b"BUSY") { ReplyKind::Busy } else { ReplyKind::Failed };
         let last = line.rsplit(|b| *b == b' ').next().filter(|w| w.contains(&b'='));
         if let Some(load) = last {
             self.load = load.to_vec();
@@ -85,7 +85,7 @@
     /// Writes a reply that serves, in a protocol, from the bytes that came with it. The value passes byte for
     /// byte; a type that RESP2 lacks becomes a bulk string there, as Redis has it.
     pub fn write(&self, bytes: &[u8], protocol: Protocol, out: &mut Vec<u8>) {
-        if self.shape == Shape::Whole && protocol == Protocol::Two {
+        if self.shape == BodyFormat::Resp2Reply && protocol == Protocol::Two {
             out.extend_from_slice(bytes);
             return;
         }
@@ -96,17 +96,17 @@
     }
 
     /// Writes what stands before a value of this length.
-    pub fn write_head(shape: Shape, length: usize, protocol: Protocol, out: &mut Vec<u8>) {
+    pub fn write_head(shape: BodyFormat, length: usize, protocol: Protocol, out: &mut Vec<u8>) {
         out.extend_from_slice(b"*3\r\n");
         // Writing to a vector cannot fail.
         match (shape, protocol) {
-            (Shape::Verbatim(format), Protocol::Three) => {
+            (BodyFormat::Verbatim(format), Protocol::Three) => {
                 let _ = write!(out, "={}\r\n", length + 4);
                 out.extend_from_slice(&format);
                 out.push(b':');
             }
-            (Shape::Double, Protocol::Three) => out.push(b','),
-            (Shape::BigNumber, Protocol::Three) => out.push(b'('),
+            (BodyFormat::Double, Protocol::Three) => out.push(b','),
+            (BodyFormat::BigNumber, Protocol::Three) => out.push(b'('),
             _ => {
                 let _ = write!(out, "${length}\r\n");
             }
@@ -166,7 +166,7 @@
     line: Vec<u8>,
     reply: Reply,
     /// A value that is handed on in parts: what of it has not been taken, and whether its reply is whole.
-    long: Option<Box<Part>>,
+    long: Option<Box<ReplyPart>>,
 }
 
 impl Default for ReplyParser {
@@ -186,14 +186,14 @@
 
 impl ReplyParser {
     /// True if a reply has begun and not ended.
-    pub fn midway(&self) -> bool {
+    pub fn in_progress(&self) -> bool {
         self.array || !matches!(self.state, ReplyState::Type)
     }
 
     /// The part of a long value that the last input brought; call it after each [`ReplyParser::feed`].
-    pub fn take_part(&mut self, whole: Option<&Reply>) -> Option<Part> {
+    pub fn take_part(&mut self, whole: Option<&Reply>) -> Option<ReplyPart> {
         let long = self.long.as_mut()?;
-        let part = Part { tail: whole.cloned(), ..std::mem::take(&mut **long) };
+        let part = ReplyPart { tail: whole.cloned(), ..std::mem::take(&mut **long) };
         if whole.is_some() {
             self.long = None;
         }
@@ -202,7 +202,7 @@
 
     /// Takes input until a reply ends or there is no more; tells how much it took, and the reply once it is
     /// whole. The bytes of a long value are not the caller's to keep: they come as parts.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Reply>), Broken> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Reply>), ProtocolError> {
         let (mut at, before) = (0, self.taken);
         while at < input.len() {
             if let ReplyState::Body(left) = &mut self.state {
@@ -230,7 +230,7 @@
     }
 
     /// Takes a byte outside of a value; so many of the reply's are taken with it.
-    fn byte(&mut self, byte: u8, taken: usize) -> Result<Option<Reply>, Broken> {
+    fn byte(&mut self, byte: u8, taken: usize) -> Result<Option<Reply>, ProtocolError> {
         match &mut self.state {
             ReplyState::Type => {
                 self.state = match (byte, self.array, self.element) {
@@ -238,7 +238,7 @@
                     (b'$', true, _) => ReplyState::Length(Number::default()),
                     // Notes and load reports may be plain lines.
                     (b'-', false, _) | (b'+', true, 1..) => ReplyState::Line { cr: false },
-                    _ => return Err(Broken("unknown type of reply")),
+                    _ => return Err(ProtocolError("unknown type of reply")),
                 };
                 self.line.clear();
             }
@@ -250,23 +250,23 @@
                     (self.array, self.elements) = (true, ELEMENTS);
                     self.state = ReplyState::Type;
                 }
-                Some(_) => return Err(Broken("invalid array length")),
+                Some(_) => return Err(ProtocolError("invalid array length")),
             },
             ReplyState::Length(number) => {
                 let Some(n) = number.push(byte)? else { return Ok(None) };
                 if n == -1 {
                     return Ok(self.next());
                 }
-                let most = if self.element == 0 { MAX_LONG } else { MAX_LINE };
+                let most = if self.element == 0 { MAX_STREAMED_VALUE_BYTES } else { MAX_LINE };
                 let length = usize::try_from(n).ok().filter(|n| *n <= most);
-                let length = length.ok_or(Broken("invalid bulk length"))?;
+                let length = length.ok_or(ProtocolError("invalid bulk length"))?;
                 self.state = if length == 0 { ReplyState::Cr } else { ReplyState::Body(length) };
                 if self.element == 0 {
-                    self.reply.kind = Kind::Served;
-                    if length > MAX_VALUE {
-                        self.reply.shape = Shape::Plain;
-                        let head = Some((Shape::Plain, length));
-                        self.long = Some(Box::new(Part { head, ..Part::default() }));
+                    self.reply.kind = ReplyKind::Served;
+                    if length > MAX_BUFFERED_VALUE_BYTES {
+                        self.reply.shape = BodyFormat::BlobString;
+                        let head = Some((BodyFormat::BlobString, length));
+                        self.long = Some(Box::new(ReplyPart { head, ..ReplyPart::default() }));
                     } else {
                         self.reply.value = taken..taken + length;
                     }
@@ -274,9 +274,9 @@
             }
             ReplyState::Line { cr } if !*cr => match byte {
                 b'\r' => *cr = true,
-                0..=31 | 127.. => return Err(Broken("a line is not text")),
+                0..=31 | 127.. => return Err(ProtocolError("a line is not text")),
                 _ if self.line.len() < MAX_LINE => self.line.push(byte),
-                _ => return Err(Broken("line is too long")),
+                _ => return Err(ProtocolError("line is too long")),
             },
             ReplyState::Line { .. } if byte == b'\n' => {
                 if !self.array {
@@ -286,7 +286,7 @@
             }
             ReplyState::Cr if byte == b'\r' => self.state = ReplyState::Lf,
             ReplyState::Lf if byte == b'\n' => return Ok(self.next()),
-            _ => return Err(Broken("expected a line end")),
+            _ => return Err(ProtocolError("expected a line end")),
         }
         Ok(None)
     }
--- a/crates/resp/src/room.rs
+++ b/crates/resp/src/room.rs
@@ -5,15 +5,15 @@
 
 /// Memory for long values, shared by all connections.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct MemoryBudget {
     left: Rc<Cell<usize>>,
     all: usize,
 }
 
-impl Room {
+impl MemoryBudget {
     /// Room for so many bytes.
     pub fn new(bytes: usize) -> Self {
-        Room { left: Rc::new(Cell::new(bytes)), all: bytes }
+        MemoryBudget { left: Rc::new(Cell::new(bytes)), all: bytes }
     }
 
     /// How large it is when nothing is taken.
@@ -21,21 +21,21 @@
         self.all
     }
 
-    pub(crate) fn lease(&self, bytes: usize) -> Option<Lease> {
+    pub(crate) fn lease(&self, bytes: usize) -> Option<Reservation> {
         let left = self.left.get().checked_sub(bytes)?;
         self.left.set(left);
-        Some(Lease { room: self.clone(), bytes })
+        Some(Reservation { room: self.clone(), bytes })
     }
 }
 
 /// A part of the room, given back when dropped.
 #[derive(Debug)]
-pub(crate) struct Lease {
-    room: Room,
+pub(crate) struct Reservation {
+    room: MemoryBudget,
     bytes: usize,
 }
 
-impl Drop for Lease {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.room.left.set(self.room.left.get() + self.bytes);
     }
--- a/crates/resp/src/three.rs
+++ b/crates/resp/src/three.rs
@@ -3,19 +3,20 @@
 //! A reply that serves may be an array of value, note and load report as in RESP2, a map that names them, or the
 //! value alone with the rest in an attribute before it. The load report may be a text or a map of its figures.
 
-use crate::frame::Frames;
+use crate::frame::FrameReader;
 use crate::{
-    Blob, Broken, Builder, Decoder, Event, Frame, Group, Kind, Limits, Part, Protocol, Reply, ReplyParser,
-    Shape, Whole, MAX_LINE, MAX_LONG, MAX_VALUE,
+    Aggregate, BlobKind, BodyFormat, Completed, Decoder, Event, Frame, FrameBuilder, Limits, Protocol,
+    ProtocolError, Reply, ReplyKind, ReplyParser, ReplyPart, MAX_BUFFERED_VALUE_BYTES, MAX_LINE,
+    MAX_STREAMED_VALUE_BYTES,
 };
 
 /// Something that a cache node said.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum ServerMessage {
     /// A reply, and in RESP3 its value; in RESP2 its bytes are those that were taken.
     Reply(Reply, Vec<u8>),
     /// A part of a reply whose value is long.
-    Part(Part),
+    Part(ReplyPart),
     /// A push: its kind and what it tells.
     Push(Vec<Frame>),
 }
@@ -60,10 +61,10 @@
     value: Vec<u8>,
     within: Vec<Within>,
     /// The role of the blob that is being read, its kind, and its bytes where they are not the value's.
-    blob: Option<(Role, Blob)>,
+    blob: Option<(Role, BlobKind)>,
     text: Vec<u8>,
     /// A value that is handed on in parts: what of it has not been.
-    long: Option<Part>,
+    long: Option<ReplyPart>,
 }
 
 impl Reading {
@@ -88,18 +89,18 @@
         }
     }
 
-    fn take(&mut self, event: Event<'_>) -> Result<(), Broken> {
+    fn take(&mut self, event: Event<'_>) -> Result<(), ProtocolError> {
         match event {
-            Event::Begin(Group::Attribute, _) => {
+            Event::AggregateBegin(Aggregate::Attribute, _) => {
                 // Only what is told of the whole reply is looked at.
                 let told = Within::Named { next: None, value: false };
                 self.within.push(if self.within.is_empty() { told } else { Within::Other });
             }
-            Event::Begin(group, _) => {
+            Event::AggregateBegin(group, _) => {
                 let within = match (self.next(), group) {
-                    (Role::Top, Group::Array) => Within::Row(0),
-                    (Role::Top, Group::Map) => Within::Named { next: None, value: true },
-                    (Role::Load, Group::Map) => {
+                    (Role::Top, Aggregate::Array) => Within::Row(0),
+                    (Role::Top, Aggregate::Map) => Within::Named { next: None, value: true },
+                    (Role::Load, Aggregate::Map) => {
                         self.reply.load.clear();
                         Within::Columns(false)
                     }
@@ -107,53 +108,57 @@
                 };
                 self.within.push(within);
             }
-            Event::End(_) => {
+            Event::AggregateEnd(_) => {
                 self.within.pop();
             }
-            Event::Blob(blob, length) => {
+            Event::BlobBegin(blob, length) => {
                 let role = self.next();
                 self.text.clear();
                 self.blob = Some((role, blob));
-                if matches!(role, Role::Top | Role::Value) && blob != Blob::Error {
+                if matches!(role, Role::Top | Role::Value) && blob != BlobKind::Error {
                     let shape = match blob {
-                        Blob::Verbatim(format) => Shape::Verbatim(format),
-                        _ => Shape::Plain,
+                        BlobKind::Verbatim(format) => BodyFormat::Verbatim(format),
+                        _ => BodyFormat::BlobString,
                     };
                     self.serve(shape)?;
-                    if length > MAX_VALUE {
-                        self.long = Some(Part { head: Some((shape, length)), ..Part::default() });
+                    if length > MAX_BUFFERED_VALUE_BYTES {
+                        self.long = Some(ReplyPart { head: Some((shape, length)), ..ReplyPart::default() });
                     } else {
                         self.value.reserve_exact(length);
                     }
                 }
             }
-            Event::Bytes(bytes) => match self.blob {
-                Some((Role::Top | Role::Value, Blob::Plain | Blob::Verbatim(_))) => match &mut self.long {
-                    Some(long) => long.bytes.extend_from_slice(bytes),
-                    // Danger: a string that does not tell its length first is kept until it is whole.
-                    None if self.value.len() + bytes.len() > MAX_VALUE => return Err(Broken("too long")),
-                    None => self.value.extend_from_slice(bytes),
-                },
+            Event::BlobBytes(bytes) => match self.blob {
+                Some((Role::Top | Role::Value, BlobKind::String | BlobKind::Verbatim(_))) => {
+                    match &mut self.long {
+                        Some(long) => long.bytes.extend_from_slice(bytes),
+                        // Danger: a string that does not tell its length first is kept until it is whole.
+                        None if self.value.len() + bytes.len() > MAX_BUFFERED_VALUE_BYTES => {
+                            return Err(ProtocolError("too long"))
+                        }
+                        None => self.value.extend_from_slice(bytes),
+                    }
+                }
                 Some((Role::Other, _)) | None => {}
                 Some(_) if self.text.len() + bytes.len() <= MAX_LINE => self.text.extend_from_slice(bytes),
-                Some(_) => return Err(Broken("line is too long")),
+                Some(_) => return Err(ProtocolError("line is too long")),
             },
             Event::BlobEnd => {
                 let text = std::mem::take(&mut self.text);
                 match self.blob.take() {
-                    Some((Role::Top, Blob::Error)) => self.reply.error(&text),
+                    Some((Role::Top, BlobKind::Error)) => self.reply.error(&text),
                     Some((Role::Top | Role::Value, _)) | None => {}
                     Some((role, _)) => self.told(role, &text)?,
                 }
                 self.text = text;
             }
-            Event::Double(_, text) => self.figure(text, Shape::Double)?,
-            Event::BigNumber(text) => self.figure(text, Shape::BigNumber)?,
-            Event::Simple(text) => {
+            Event::Double(_, text) => self.figure(text, BodyFormat::Double)?,
+            Event::BigNumber(text) => self.figure(text, BodyFormat::BigNumber)?,
+            Event::SimpleString(text) => {
                 let role = self.next();
                 self.told(role, text)?;
             }
-            Event::Error(text) => match self.next() {
+            Event::SimpleError(text) => match self.next() {
                 Role::Top => self.reply.error(text),
                 role => self.told(role, text)?,
             },
@@ -174,16 +179,16 @@
     }
 
     /// A value begins.
-    fn serve(&mut self, shape: Shape) -> Result<(), Broken> {
-        if std::mem::replace(&mut self.reply.kind, Kind::Served) == Kind::Served {
-            return Err(Broken("two values in a reply"));
+    fn serve(&mut self, shape: BodyFormat) -> Result<(), ProtocolError> {
+        if std::mem::replace(&mut self.reply.kind, ReplyKind::Served) == ReplyKind::Served {
+            return Err(ProtocolError("two values in a reply"));
         }
         self.reply.shape = shape;
         Ok(())
     }
 
     /// A number that may stand for a value.
-    fn figure(&mut self, text: &[u8], shape: Shape) -> Result<(), Broken> {
+    fn figure(&mut self, text: &[u8], shape: BodyFormat) -> Result<(), ProtocolError> {
         match self.next() {
             Role::Top | Role::Value => {
                 self.serve(shape)?;
@@ -195,9 +200,9 @@
     }
 
     /// A short text, whatever its type was.
-    fn told(&mut self, role: Role, text: &[u8]) -> Result<(), Broken> {
+    fn told(&mut self, role: Role, text: &[u8]) -> Result<(), ProtocolError> {
         if role != Role::Other && !text.iter().all(|b| (32..127).contains(b)) {
-            return Err(Broken("a line is not text"));
+            return Err(ProtocolError("a line is not text"));
         }
         let load = &mut self.reply.load;
         match role {
@@ -215,7 +220,7 @@
             }
             Role::Column | Role::Figure => {
                 if load.len() + text.len() >= MAX_LINE {
-                    return Err(Broken("line is too long"));
+                    return Err(ProtocolError("line is too long"));
                 }
                 if role == Role::Column && !load.is_empty() {
                     load.push(b',');
@@ -231,12 +236,12 @@
         Ok(())
     }
 
-    fn end(&mut self) -> Item {
+    fn end(&mut self) -> ServerMessage {
         let mut done = std::mem::take(self);
         done.reply.value = 0..done.value.len();
         match done.long {
-            Some(part) => Item::Part(Part { tail: Some(done.reply), ..part }),
-            None => Item::Reply(done.reply, done.value),
+            Some(part) => ServerMessage::Part(ReplyPart { tail: Some(done.reply), ..part }),
+            None => ServerMessage::Reply(done.reply, done.value),
         }
     }
 }
@@ -247,27 +252,31 @@
     /// RESP2.
     Two(ReplyParser),
     /// RESP3.
-    Three(Box<Three>),
+    Three(Box<Resp3ReplyParser>),
 }
 
 /// Reads replies and pushes in RESP3.
 #[derive(Debug)]
-pub struct Three {
+pub struct Resp3ReplyParser {
     decoder: Decoder,
     reading: Reading,
-    push: Builder,
+    push: FrameBuilder,
     pushing: bool,
     /// Bytes of the push at hand.
     pushed: usize,
 }
 
-impl Default for Three {
+impl Default for Resp3ReplyParser {
     fn default() -> Self {
         let usual = Limits::default();
-        Three {
-            decoder: Decoder::new(Limits { blob: MAX_LONG, bytes: MAX_LONG + usual.bytes, ..usual }),
+        Resp3ReplyParser {
+            decoder: Decoder::new(Limits {
+                blob: MAX_STREAMED_VALUE_BYTES,
+                bytes: MAX_STREAMED_VALUE_BYTES + usual.bytes,
+                ..usual
+            }),
             reading: Reading::default(),
-            push: Builder::default(),
+            push: FrameBuilder::default(),
             pushing: false,
             pushed: 0,
         }
@@ -292,10 +301,10 @@
     }
 
     /// True if something has begun and not ended.
-    pub fn midway(&self) -> bool {
+    pub fn in_progress(&self) -> bool {
         match self {
-            ReplyReader::Two(parser) => parser.midway(),
-            ReplyReader::Three(three) => three.decoder.midway(),
+            ReplyReader::Two(parser) => parser.in_progress(),
+            ReplyReader::Three(three) => three.decoder.in_progress(),
         }
     }
 
@@ -303,30 +312,30 @@
     ///
     /// # Errors
     /// The node does not speak the protocol, or goes past its bounds; nothing after it can be understood.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Item>), Broken> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<ServerMessage>), ProtocolError> {
         match self {
             ReplyReader::Two(parser) => {
                 let (used, reply) = parser.feed(input)?;
-                let part = parser.take_part(reply.as_ref()).map(Item::Part);
-                Ok((used, part.or(reply.map(|reply| Item::Reply(reply, Vec::new())))))
+                let part = parser.take_part(reply.as_ref()).map(ServerMessage::Part);
+                Ok((used, part.or(reply.map(|reply| ServerMessage::Reply(reply, Vec::new())))))
             }
             ReplyReader::Three(three) => three.feed(input),
         }
     }
 }
 
-impl Three {
-    fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Item>), Broken> {
-        let Three { decoder, reading, push, pushing, pushed: kept } = self;
+impl Resp3ReplyParser {
+    fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<ServerMessage>), ProtocolError> {
+        let Resp3ReplyParser { decoder, reading, push, pushing, pushed: kept } = self;
         let mut pushed = None;
         let (used, whole) = decoder.feed(input, |event| {
-            *pushing |= matches!(event, Event::Begin(Group::Push, _));
+            *pushing |= matches!(event, Event::AggregateBegin(Aggregate::Push, _));
             if *pushing {
                 // What nobody asked for is kept whole, so it may not be long.
-                if let Event::Bytes(bytes) = event {
+                if let Event::BlobBytes(bytes) = event {
                     *kept += bytes.len();
                     if *kept > Limits::default().bytes {
-                        return Err(Broken("too long"));
+                        return Err(ProtocolError("too long"));
                     }
                 }
                 pushed = push.take(event).or(pushed.take());
@@ -335,12 +344,12 @@
             reading.take(event)
         })?;
         let item = match whole {
-            None => reading.long.as_mut().map(|long| Item::Part(std::mem::take(long))),
-            Some(Whole::Frame) => Some(reading.end()),
-            Some(Whole::Push) => {
+            None => reading.long.as_mut().map(|long| ServerMessage::Part(std::mem::take(long))),
+            Some(Completed::Frame) => Some(reading.end()),
+            Some(Completed::Push) => {
                 (*pushing, *kept) = (false, 0);
                 match pushed {
-                    Some(Frame::Push(told)) => Some(Item::Push(told)),
+                    Some(Frame::Push(told)) => Some(ServerMessage::Push(told)),
                     _ => None,
                 }
             }
@@ -350,22 +359,27 @@
 }
 
 /// How a node answered `HELLO 3`: the protocol that is spoken from then on, or the error that refuses it.
-pub type Greeted = Result<Protocol, Vec<u8>>;
+pub type HelloOutcome = Result<Protocol, Vec<u8>>;
 
 /// Reads the answer to `HELLO 3`.
 #[derive(Debug)]
-pub struct Greeting(Frames);
+pub struct HelloReplyParser(FrameReader);
 
-impl Default for Greeting {
+impl Default for HelloReplyParser {
     fn default() -> Self {
-        Greeting(Frames::new(Limits { depth: 8, elements: 256, blob: MAX_LINE, bytes: 16 << 10 }))
+        HelloReplyParser(FrameReader::new(Limits {
+            depth: 8,
+            elements: 256,
+            blob: MAX_LINE,
+            bytes: 16 << 10,
+        }))
     }
 }
 
-impl Greeting {
+impl HelloReplyParser {
     /// True if the answer has begun.
-    pub fn midway(&self) -> bool {
-        self.0.midway()
+    pub fn in_progress(&self) -> bool {
+        self.0.in_progress()
     }
 
     /// Takes input up to the end of the answer; tells how much it took, and the protocol that is spoken from then
@@ -373,7 +387,7 @@
     ///
     /// # Errors
     /// It is neither an error nor an answer that names a protocol.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Greeted>), Broken> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<HelloOutcome>), ProtocolError> {
         let mut at = 0;
         while at < input.len() {
             let (used, frame) = self.0.feed(&input[at..])?;
@@ -390,7 +404,7 @@
             return match frame.get("proto") {
                 Some(Frame::Integer(3)) => Ok((at, Some(Ok(Protocol::Three)))),
                 Some(Frame::Integer(2)) => Ok((at, Some(Ok(Protocol::Two)))),
-                _ => Err(Broken("the answer to HELLO names no protocol")),
+                _ => Err(ProtocolError("the answer to HELLO names no protocol")),
             };
         }
         Ok((at, None))
--- a/crates/resp/tests/frames.rs
+++ b/crates/resp/tests/frames.rs
@@ -9,8 +9,8 @@
 use resp::*;
 
 /// Reads all frames and pushes of an input given in pieces.
-fn read(pieces: &[&[u8]], limits: Limits) -> Result<Vec<Frame>, Broken> {
-    let (mut frames, mut all) = (Frames::new(limits), Vec::new());
+fn read(pieces: &[&[u8]], limits: Limits) -> Result<Vec<Frame>, ProtocolError> {
+    let (mut frames, mut all) = (FrameReader::new(limits), Vec::new());
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
             let (used, frame) = frames.feed(piece)?;
@@ -19,13 +19,13 @@
             piece = &piece[used..];
         }
     }
-    if frames.midway() {
-        return Err(Broken("half a frame"));
+    if frames.in_progress() {
+        return Err(ProtocolError("half a frame"));
     }
     Ok(all)
 }
 
-fn one(text: &[u8]) -> Result<Frame, Broken> {
+fn one(text: &[u8]) -> Result<Frame, ProtocolError> {
     let mut all = read(&[text], Limits::default())?;
     assert_eq!(all.len(), 1, "{text:?}");
     Ok(all.remove(0))
@@ -47,11 +47,11 @@
         any::<i64>().prop_map(Frame::Integer),
         any::<f64>().prop_filter("its own equal", |d| !d.is_nan()).prop_map(Frame::Double),
         "-?[0-9]{1,40}".prop_map(|d| Frame::BigNumber(d.into_bytes())),
-        line.clone().prop_map(Frame::Simple),
-        line.prop_map(Frame::Error),
-        bytes.clone().prop_map(|b| Frame::Blob(Blob::Plain, b)),
-        bytes.clone().prop_map(|b| Frame::Blob(Blob::Error, b)),
-        bytes.prop_map(|b| Frame::Blob(Blob::Verbatim(*b"txt"), b)),
+        line.clone().prop_map(Frame::SimpleString),
+        line.prop_map(Frame::SimpleError),
+        bytes.clone().prop_map(|b| Frame::Blob(BlobKind::String, b)),
+        bytes.clone().prop_map(|b| Frame::Blob(BlobKind::Error, b)),
+        bytes.prop_map(|b| Frame::Blob(BlobKind::Verbatim(*b"txt"), b)),
     ];
     leaf.prop_recursive(4, 40, 6, |inner| {
         let several = proptest::collection::vec(inner.clone(), 0..6);
@@ -79,11 +79,11 @@
         (Frame::Integer(a), Other::Number { data, .. }) => a == data,
         (Frame::Double(a), Other::Double { data, .. }) => a == data,
         (Frame::BigNumber(a), Other::BigNumber { data, .. }) => a == data,
-        (Frame::Simple(a), Other::SimpleString { data, .. }) => a == data,
-        (Frame::Error(a), Other::SimpleError { data, .. }) => a == data.as_bytes(),
-        (Frame::Blob(Blob::Plain, a), Other::BlobString { data, .. }) => a == data,
-        (Frame::Blob(Blob::Error, a), Other::BlobError { data, .. }) => a == data,
-        (Frame::Blob(Blob::Verbatim(_), a), Other::VerbatimString { data, .. }) => a == data,
+        (Frame::SimpleString(a), Other::SimpleString { data, .. }) => a == data,
+        (Frame::SimpleError(a), Other::SimpleError { data, .. }) => a == data.as_bytes(),
+        (Frame::Blob(BlobKind::String, a), Other::BlobString { data, .. }) => a == data,
+        (Frame::Blob(BlobKind::Error, a), Other::BlobError { data, .. }) => a == data,
+        (Frame::Blob(BlobKind::Verbatim(_), a), Other::VerbatimString { data, .. }) => a == data,
         (Frame::Array(a), Other::Array { data, .. }) => all(a, data),
         (Frame::Push(a), Other::Push { data, .. }) => all(a, data),
         (Frame::Set(a), Other::Set { data, .. }) => data.iter().all(|b| a.iter().any(|a| alike(a, b))),
@@ -97,9 +97,11 @@
 /// Has it only what the other decoder reads in the same way? It refuses errors that are not UTF-8, does not nest
 /// attributes, and has no sets or maps of what can't be hashed.
 fn common(frame: &Frame) -> bool {
-    let plain = |f: &Frame| matches!(f, Frame::Integer(_) | Frame::Blob(Blob::Plain, _) | Frame::Simple(_));
+    let plain = |f: &Frame| {
+        matches!(f, Frame::Integer(_) | Frame::Blob(BlobKind::String, _) | Frame::SimpleString(_))
+    };
     match frame {
-        Frame::Error(text) | Frame::Blob(Blob::Error, text) => std::str::from_utf8(text).is_ok(),
+        Frame::SimpleError(text) | Frame::Blob(BlobKind::Error, text) => std::str::from_utf8(text).is_ok(),
         Frame::Attribute(..) | Frame::Push(_) => false,
         Frame::Array(all) => all.iter().all(common),
         Frame::Set(all) => all.iter().all(plain),
@@ -151,7 +153,7 @@
         // NaN is not its own equal.
         prop_assert_eq!(format!("{cut:?}"), format!("{whole:?}"));
         // A greeting and a reply reader take the same without harm.
-        let _ = Greeting::default().feed(&bytes);
+        let _ = HelloReplyParser::default().feed(&bytes);
         let mut reader = ReplyReader::new(Protocol::Three);
         let mut left = &bytes[..];
         while let (false, Ok((used, _))) = (left.is_empty(), reader.feed(left)) {
@@ -162,7 +164,7 @@
 
 #[test]
 fn streamed_forms_and_attributes_are_put_together() {
-    let text = |t: &str| Frame::text(t);
+    let text = |t: &str| Frame::bulk_string(t);
     assert_eq!(one(b"$?\r\n;4\r\nHell\r\n;1\r\no\r\n;0\r\n"), Ok(text("Hello")));
     assert_eq!(
         one(b"*?\r\n:1\r\n~?\r\n.\r\n.\r\n"),
@@ -170,15 +172,15 @@
     );
     assert_eq!(
         one(b"%?\r\n+a\r\n:1\r\n.\r\n"),
-        Ok(Frame::Map(vec![(Frame::Simple(b"a".to_vec()), Frame::Integer(1))]))
+        Ok(Frame::Map(vec![(Frame::SimpleString(b"a".to_vec()), Frame::Integer(1))]))
     );
-    let told = vec![(Frame::Simple(b"ttl".to_vec()), Frame::Integer(3)), (text("a"), Frame::Null)];
+    let told = vec![(Frame::SimpleString(b"ttl".to_vec()), Frame::Integer(3)), (text("a"), Frame::Null)];
     let both = b"*1\r\n|1\r\n+ttl\r\n:3\r\n|1\r\n$1\r\na\r\n_\r\n$1\r\nv\r\n";
     assert_eq!(one(both), Ok(Frame::Array(vec![Frame::Attribute(told, Box::new(text("v")))])));
     assert_eq!(one(b",-inf\r\n"), Ok(Frame::Double(f64::NEG_INFINITY)));
     assert!(matches!(one(b",nan\r\n"), Ok(Frame::Double(d)) if d.is_nan()));
     assert_eq!(one(b"*-1\r\n"), Ok(Frame::Null));
-    assert_eq!(one(b"=7\r\nmkd:# a\r\n"), Ok(Frame::Blob(Blob::Verbatim(*b"mkd"), b"# a".to_vec())));
+    assert_eq!(one(b"=7\r\nmkd:# a\r\n"), Ok(Frame::Blob(BlobKind::Verbatim(*b"mkd"), b"# a".to_vec())));
 }
 
 #[test]
@@ -200,7 +202,7 @@
     }
     // Inside a bulk string they are data.
     let data = format!("${}\r\n{push}\r\n", push.len());
-    assert_eq!(one(data.as_bytes()), Ok(Frame::text(push)));
+    assert_eq!(one(data.as_bytes()), Ok(Frame::bulk_string(push)));
 }
 
 #[test]
@@ -252,7 +254,7 @@
 // ---- replies ----
 
 /// Reads what a node that speaks RESP3 said.
-fn items(pieces: &[&[u8]]) -> Result<Vec<Item>, Broken> {
+fn items(pieces: &[&[u8]]) -> Result<Vec<ServerMessage>, ProtocolError> {
     let (mut reader, mut all) = (ReplyReader::new(Protocol::Three), Vec::new());
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
@@ -261,14 +263,14 @@
             piece = &piece[used..];
         }
     }
-    assert!(!reader.midway());
+    assert!(!reader.in_progress());
     Ok(all)
 }
 
 /// One reply, in both protocols.
-fn translated(text: &str) -> Result<(Reply, String, String), Broken> {
+fn translated(text: &str) -> Result<(Reply, String, String), ProtocolError> {
     let mut all = items(&[text.as_bytes()])?;
-    let Some(Item::Reply(reply, value)) = all.pop() else { panic!("{text:?}: no reply") };
+    let Some(ServerMessage::Reply(reply, value)) = all.pop() else { panic!("{text:?}: no reply") };
     assert_eq!(all, []);
     let write = |protocol| {
         let mut out = Vec::new();
@@ -291,7 +293,7 @@
         "*?\r\n$5\r\na\r\nbc\r\n|1\r\n+value\r\n+x\r\n+hit\r\n+load=1,util=.5\r\n.\r\n".into(),
     ] {
         let (reply, as_two, as_three) = translated(&text).expect(&text);
-        assert_eq!((reply.kind, &as_two[..]), (Kind::Served, two), "{text:?}");
+        assert_eq!((reply.kind, &as_two[..]), (ReplyKind::Served, two), "{text:?}");
         assert_eq!(as_three, two);
     }
     let (_, two, three) = translated("*3\r\n$1\r\nv\r\n_\r\n_\r\n").expect("reads");
@@ -306,7 +308,7 @@
         ("(12345678901234567890\r\n", "$20\r\n12345678901234567890\r\n"),
     ] {
         let (reply, two, three) = translated(&format!("*3\r\n{value}_\r\n_\r\n")).expect(value);
-        assert_eq!(reply.kind, Kind::Served);
+        assert_eq!(reply.kind, ReplyKind::Served);
         assert_eq!(two, format!("*3\r\n{in_two}$-1\r\n$-1\r\n"));
         assert_eq!(three, format!("*3\r\n{value}_\r\n_\r\n"));
     }
@@ -323,18 +325,18 @@
         "%1\r\n+note\r\n+hit\r\n",
         "|1\r\n+value\r\n$1\r\nv\r\n_\r\n",
     ] {
-        assert_eq!(translated(none).expect(none).0.kind, Kind::Failed, "{none:?}");
+        assert_eq!(translated(none).expect(none).0.kind, ReplyKind::Failed, "{none:?}");
     }
 }
 
 #[test]
 fn errors_mean_the_same_in_either_form() {
     for (text, kind, load) in [
-        ("-BUSY 20\r\n", Kind::Busy, ""),
-        ("!7\r\nBUSY 20\r\n", Kind::Busy, ""),
-        ("-BUSYBODY\r\n", Kind::Failed, ""),
-        ("!17\r\nERR failed util=1\r\n", Kind::Failed, "util=1"),
-        ("|1\r\n+load\r\n%1\r\n+util\r\n,0.5\r\n-BUSY\r\n", Kind::Busy, "util=0.5"),
+        ("-BUSY 20\r\n", ReplyKind::Busy, ""),
+        ("!7\r\nBUSY 20\r\n", ReplyKind::Busy, ""),
+        ("-BUSYBODY\r\n", ReplyKind::Failed, ""),
+        ("!17\r\nERR failed util=1\r\n", ReplyKind::Failed, "util=1"),
+        ("|1\r\n+load\r\n%1\r\n+util\r\n,0.5\r\n-BUSY\r\n", ReplyKind::Busy, "util=0.5"),
     ] {
         let reply = translated(text).expect(text).0;
         assert_eq!((reply.kind, &reply.load[..]), (kind, load.as_bytes()), "{text:?}");
@@ -355,24 +357,24 @@
 
 #[test]
 fn pushes_are_told_apart_from_replies_wherever_they_stand() {
-    let push = format!(">2\r\n+invalidate\r\n$65536\r\n{}\r\n", "k".repeat(MAX_VALUE));
+    let push = format!(">2\r\n+invalidate\r\n$65536\r\n{}\r\n", "k".repeat(MAX_BUFFERED_VALUE_BYTES));
     let text = format!("{push}*3\r\n$?\r\n;1\r\na\r\n{push};1\r\nb\r\n;0\r\n{push}+hit\r\n_\r\n{push}");
     let mut all = items(&[text.as_bytes()]).expect("reads");
-    let Item::Reply(reply, value) = all.remove(3) else { panic!("no reply") };
-    assert_eq!((reply.kind, &value[..], &reply.note[..]), (Kind::Served, &b"ab"[..], &b"hit"[..]));
-    assert!(all.len() == 4 && all.iter().all(|i| matches!(i, Item::Push(told) if told.len() == 2)));
+    let ServerMessage::Reply(reply, value) = all.remove(3) else { panic!("no reply") };
+    assert_eq!((reply.kind, &value[..], &reply.note[..]), (ReplyKind::Served, &b"ab"[..], &b"hit"[..]));
+    assert!(all.len() == 4 && all.iter().all(|i| matches!(i, ServerMessage::Push(told) if told.len() == 2)));
 }
 
 #[test]
 fn the_answer_to_a_greeting_names_a_protocol_or_refuses() {
     let map = b"%2\r\n+server\r\n+box\r\n+proto\r\n:3\r\n*3\r\n";
     for cut in 0..map.len() {
-        let mut greeting = Greeting::default();
+        let mut greeting = HelloReplyParser::default();
         let first = greeting.feed(&map[..cut]).expect("reads");
         let told = first.1.or_else(|| greeting.feed(&map[cut..]).expect("reads").1);
         assert_eq!(told, Some(Ok(Protocol::Three)));
     }
-    let feed = |text: &str| Greeting::default().feed(text.as_bytes());
+    let feed = |text: &str| HelloReplyParser::default().feed(text.as_bytes());
     assert_eq!(feed("-NOPROTO no\r\n*3"), Ok((13, Some(Err(b"NOPROTO no".to_vec())))));
     assert_eq!(feed("*2\r\n+proto\r\n:2\r\n"), Ok((16, Some(Ok(Protocol::Two)))));
     assert_eq!(
--- a/crates/resp/tests/parsers.rs
+++ b/crates/resp/tests/parsers.rs
@@ -9,8 +9,8 @@
 const VALUE_AT: usize = 4;
 const MAX_LINE: usize = 1 << 10;
 
-fn commands(pieces: &[&[u8]], room: usize) -> Result<Vec<Vec<Vec<u8>>>, Broken> {
-    let mut parser = CommandParser::new(Room::new(room));
+fn commands(pieces: &[&[u8]], room: usize) -> Result<Vec<Vec<Vec<u8>>>, ProtocolError> {
+    let mut parser = CommandParser::new(MemoryBudget::new(room));
     let mut all = Vec::new();
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
@@ -23,13 +23,13 @@
     Ok(all)
 }
 
-fn replies(pieces: &[&[u8]]) -> Result<Vec<Reply>, Broken> {
+fn replies(pieces: &[&[u8]]) -> Result<Vec<Reply>, ProtocolError> {
     let (mut parser, mut all) = (ReplyParser::default(), Vec::new());
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
             let (used, reply) = parser.feed(piece)?;
             assert!(used > 0, "no progress");
-            assert!(reply.is_none() || !parser.midway());
+            assert!(reply.is_none() || !parser.in_progress());
             all.extend(reply);
             piece = &piece[used..];
         }
@@ -48,7 +48,7 @@
 }
 
 fn reply() -> impl Strategy<Value = Vec<u8>> {
-    let value = prop_oneof![0usize..40, Just(MAX_VALUE)];
+    let value = prop_oneof![0usize..40, Just(MAX_BUFFERED_VALUE_BYTES)];
     let array = (value, 0usize..3, any::<bool>()).prop_map(|(length, note, load)| {
         let mut out = format!("*3\r\n${length}\r\n").into_bytes();
         out.extend(std::iter::repeat_n(b'\n', length));
@@ -100,18 +100,18 @@
 
 #[test]
 fn a_value_without_room_is_read_to_its_end_and_gives_its_room_back() {
-    let room = Room::new(10_000);
+    let room = MemoryBudget::new(10_000);
     let mut args = vec![b"x".to_vec(); VALUE_AT];
     args.push(vec![b'x'; 8_000]);
     let big = encode(&args);
     let mut first = CommandParser::new(room.clone());
     let mut second = CommandParser::new(room.clone());
     let held = first.feed(&big).expect("parses").1.expect("whole");
-    assert!(held.is_whole() && held.arg(VALUE_AT).len() == 8_000);
+    assert!(held.is_complete() && held.arg(VALUE_AT).len() == 8_000);
     let refused = second.feed(&big).expect("parses").1.expect("whole");
-    assert!(!refused.is_whole() && refused.arity() == VALUE_AT + 1);
+    assert!(!refused.is_complete() && refused.arity() == VALUE_AT + 1);
     drop(held);
-    assert!(second.feed(&big).expect("parses").1.expect("whole").is_whole());
+    assert!(second.feed(&big).expect("parses").1.expect("whole").is_complete());
 }
 
 #[test]
@@ -150,8 +150,11 @@
         b"*3\r\n$1\r\nv\r\n$7\r\npending\r\n$-1\r\n-BUSY 5\r\n-BUSYBODY\r\n-ERR failed util=1\r\n",
     ])
     .expect("parses");
-    let first = Reply { kind: Kind::Served, note: b"pending".to_vec(), value: 8..9, ..Reply::default() };
+    let first = Reply { kind: ReplyKind::Served, note: b"pending".to_vec(), value: 8..9, ..Reply::default() };
     assert_eq!(all[0], first);
-    assert_eq!((all[1].kind, all[2].kind, all[3].kind), (Kind::Busy, Kind::Failed, Kind::Failed));
+    assert_eq!(
+        (all[1].kind, all[2].kind, all[3].kind),
+        (ReplyKind::Busy, ReplyKind::Failed, ReplyKind::Failed)
+    );
     assert_eq!(all[3].load, b"util=1");
 }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -150,7 +150,7 @@
         let name = String::from_utf8_lossy(command.arg(0)).to_ascii_uppercase();
         match (&name[..], arity) {
             ("PING", 1) => Answer::new(b"+PONG\r\n"),
-            ("PING", 2) | ("ECHO", 2) => Answer::frame(&Frame::text(command.arg(1)), self.protocol),
+            ("PING", 2) | ("ECHO", 2) => Answer::frame(&Frame::bulk_string(command.arg(1)), self.protocol),
             // There is one database; which number a client gives it is its own matter.
             ("SELECT", 2) => Answer::ok(),
             ("CLIENT", 2..) => self.client(command),
@@ -178,7 +178,7 @@
         match (&part[..], command.arity()) {
             (b"ID", 2) => Answer::frame(&Frame::Integer(self.id as i64), self.protocol),
             (b"GETNAME", 2) if self.name.is_empty() => Answer::frame(&Frame::Null, self.protocol),
-            (b"GETNAME", 2) => Answer::frame(&Frame::text(&self.name), self.protocol),
+            (b"GETNAME", 2) => Answer::frame(&Frame::bulk_string(&self.name), self.protocol),
             (b"SETNAME", 3) if !fits(arg) => Answer::error(BAD_NAME),
             (b"SETNAME", 3) => {
                 self.name = arg.to_vec();
@@ -282,8 +282,8 @@
         if let Some(name) = name {
             self.name = name.to_vec();
         }
-        let text = |key: &str, value: &str| (Frame::text(key), Frame::text(value));
-        let number = |key: &str, value: i64| (Frame::text(key), Frame::Integer(value));
+        let text = |key: &str, value: &str| (Frame::bulk_string(key), Frame::bulk_string(value));
+        let number = |key: &str, value: i64| (Frame::bulk_string(key), Frame::Integer(value));
         let told = Frame::Map(vec![
             text("server", "trestlesill"),
             text("version", env!("CARGO_PKG_VERSION")),
@@ -291,7 +291,7 @@
             number("id", self.id as i64),
             text("mode", "standalone"),
             text("role", "master"),
-            (Frame::text("modules"), Frame::Array(Vec::new())),
+            (Frame::bulk_string("modules"), Frame::Array(Vec::new())),
         ]);
         Answer::frame(&told, protocol)
     }
--- a/crates/session/tests/session.rs
+++ b/crates/session/tests/session.rs
@@ -1,12 +1,12 @@
 //! Sessions as client libraries set them up, and as others try to.
 
-use resp::{Command, CommandParser, Frame, Frames, Protocol, Room};
+use resp::{Command, CommandParser, Frame, FrameReader, MemoryBudget, Protocol};
 use session::*;
 
 fn command(words: &[&str]) -> Command {
     let mut bytes = Vec::new();
-    Frame::Array(words.iter().map(Frame::text).collect()).write(Protocol::Two, &mut bytes);
-    let mut parser = CommandParser::new(Room::new(1 << 20));
+    Frame::Array(words.iter().map(Frame::bulk_string).collect()).write(Protocol::Two, &mut bytes);
+    let mut parser = CommandParser::new(MemoryBudget::new(1 << 20));
     parser.feed(&bytes).expect("reads").1.expect("whole")
 }
 
@@ -60,7 +60,7 @@
         hello.starts_with("%7\r\n") && hello.contains("$5\r\nproto\r\n:3\r\n$2\r\nid\r\n:7\r\n"),
         "{hello}"
     );
-    let (used, frame) = Frames::default().feed(hello.as_bytes()).expect("reads");
+    let (used, frame) = FrameReader::default().feed(hello.as_bytes()).expect("reads");
     assert_eq!((used, frame.and_then(|f| f.get("proto").cloned())), (hello.len(), Some(Frame::Integer(3))));
     assert_eq!(client.says("CLIENT GETNAME"), "$3\r\napp\r\n");
     for (words, error) in [
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -509,7 +509,8 @@
     mut stream: impl std::io::Read + std::io::Write,
     mut answer: impl FnMut(&resp::Command) -> Option<Vec<u8>>,
 ) {
-    let (mut parser, mut buffer) = (resp::CommandParser::new(resp::Room::new(1 << 20)), vec![0; 64 << 10]);
+    let (mut parser, mut buffer) =
+        (resp::CommandParser::new(resp::MemoryBudget::new(1 << 20)), vec![0; 64 << 10]);
     while let Ok(n @ 1..) = stream.read(&mut buffer) {
         let (mut piece, mut out) = (&buffer[..n], Vec::new());
         while let (false, Ok((used, command))) = (piece.is_empty(), parser.feed(piece)) {
--- a/crates/testkit/src/world/boxes.rs
+++ b/crates/testkit/src/world/boxes.rs
@@ -6,7 +6,7 @@
 use super::origin::{Cache, Origin};
 use super::speech::{dressed, hello, Speech};
 use super::{listeners, lock, Clock};
-use resp::{Command, CommandParser, Room, MAX_VALUE};
+use resp::{Command, CommandParser, MemoryBudget, MAX_BUFFERED_VALUE_BYTES};
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
 use std::net::{SocketAddr, TcpListener};
@@ -320,7 +320,7 @@
         let mut three = false;
         let (answers, mut ready) = mpsc::unbounded_channel();
         let mut works = JoinSet::new();
-        let mut parser = CommandParser::new(Room::new(64 * MAX_VALUE));
+        let mut parser = CommandParser::new(MemoryBudget::new(64 * MAX_BUFFERED_VALUE_BYTES));
         let mut buffer = vec![0; 16 << 10];
         let way = self.network.distance(zone, home);
         let (mut input, mut output) = tokio::io::split(&mut stream);
--- a/crates/testkit/src/world/speech.rs
+++ b/crates/testkit/src/world/speech.rs
@@ -1,7 +1,7 @@
 //! What a box speaks, and how one that speaks RESP3 dresses its answers: after the RESP3 specification, in each of
 //! the forms that an answer may have, with pushes in between.
 
-use resp::{Blob, Frame, Kind, Protocol, Reply, ReplyParser};
+use resp::{BlobKind, Frame, Protocol, Reply, ReplyKind, ReplyParser};
 
 /// What a box does with `HELLO 3`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 
 /// The answer to `HELLO 3`.
 pub fn hello() -> Vec<u8> {
-    let text = |t: &str| Frame::text(t);
+    let text = |t: &str| Frame::bulk_string(t);
     let map = Frame::Map(vec![
         (text("server"), text("box")),
         (text("proto"), Frame::Integer(3)),
@@ -35,8 +35,8 @@
 /// A push.
 fn push(rng: &mut fastrand::Rng) -> Vec<u8> {
     let kind = ["invalidate", "message"][rng.usize(..2)];
-    let told = Frame::Array(vec![Frame::text("*3\r\n$1\r\nx\r\n"), Frame::Null]);
-    encoded(&Frame::Push(vec![Frame::text(kind), told]))
+    let told = Frame::Array(vec![Frame::bulk_string("*3\r\n$1\r\nx\r\n"), Frame::Null]);
+    encoded(&Frame::Push(vec![Frame::bulk_string(kind), told]))
 }
 
 /// The same answer in RESP3, in one of its forms, with a push at a place where one may stand for a part of them.
@@ -46,7 +46,8 @@
     if used < answer.len() {
         return answer;
     }
-    let parts = if reply.kind == Kind::Served { served(&reply, &answer, rng) } else { refused(&answer, rng) };
+    let parts =
+        if reply.kind == ReplyKind::Served { served(&reply, &answer, rng) } else { refused(&answer, rng) };
     let mut out = Vec::new();
     for part in parts {
         if rng.f64() < pushes {
@@ -60,11 +61,11 @@
 /// The pieces of an answer between which a push may stand.
 fn served(reply: &Reply, answer: &[u8], rng: &mut fastrand::Rng) -> Vec<Vec<u8>> {
     let value = &answer[reply.value.clone()];
-    let told = |text: &[u8]| if text.is_empty() { Frame::Null } else { Frame::text(text) };
+    let told = |text: &[u8]| if text.is_empty() { Frame::Null } else { Frame::bulk_string(text) };
     let (note, load) = (encoded(&told(&reply.note)), encoded(&told(&reply.load)));
-    let plain = encoded(&Frame::text(value));
-    let verbatim = encoded(&Frame::Blob(Blob::Verbatim(*b"txt"), value.to_vec()));
-    let key = |name: &str| encoded(&Frame::Simple(name.into()));
+    let plain = encoded(&Frame::bulk_string(value));
+    let verbatim = encoded(&Frame::Blob(BlobKind::Verbatim(*b"txt"), value.to_vec()));
+    let key = |name: &str| encoded(&Frame::SimpleString(name.into()));
     match rng.u8(..5) {
         0 => vec![b"*3\r\n".to_vec(), plain, note, load],
         1 => vec![b"*?\r\n".to_vec(), verbatim, note, load, b".\r\n".to_vec()],
@@ -87,7 +88,7 @@
 fn refused(answer: &[u8], rng: &mut fastrand::Rng) -> Vec<Vec<u8>> {
     let text = answer.strip_prefix(b"-").and_then(|t| t.strip_suffix(b"\r\n"));
     match text {
-        Some(text) if rng.bool() => vec![encoded(&Frame::Blob(Blob::Error, text.to_vec()))],
+        Some(text) if rng.bool() => vec![encoded(&Frame::Blob(BlobKind::Error, text.to_vec()))],
         _ => vec![answer.to_vec()],
     }
 }
