--- a/crates/ctl/src/file.rs
+++ b/crates/ctl/src/file.rs
@@ -147,7 +147,7 @@
     match operator::Operator::load(path, "name") {
         Ok(operator) => {
             let password = |(i, user): (usize, &operator::User)| {
-                let error = user.password.as_deref().and_then(|p| session::Password::parse(p).err())?;
+                let error = user.password.as_deref().and_then(|p| session::PasswordHash::parse(p).err())?;
                 Some(format!("{place}: clients.users[{i}].password: {error}"))
             };
             let faults: Vec<String> =
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -287,7 +287,7 @@
 
 /// Prints a password as the operator's file has it.
 fn password(generate: bool, json: bool) -> Result<(), Box<dyn std::error::Error>> {
-    let mut chance = [0; 24 + session::SALT];
+    let mut chance = [0; 24 + session::SALT_BYTES];
     getrandom::fill(&mut chance)?;
     let (secret, salt) = chance.split_at(24);
     let mut plain = hex::encode(secret);
@@ -296,12 +296,15 @@
         std::io::stdin().read_line(&mut plain)?;
         plain.truncate(plain.trim_end_matches(['\r', '\n']).len());
     }
-    if plain.is_empty() || plain.len() > session::MAX_PASSWORD {
-        return Err(
-            format!("a password has 1 to {} bytes; this has {}", session::MAX_PASSWORD, plain.len()).into()
-        );
+    if plain.is_empty() || plain.len() > session::MAX_PASSWORD_BYTES {
+        return Err(format!(
+            "a password has 1 to {} bytes; this has {}",
+            session::MAX_PASSWORD_BYTES,
+            plain.len()
+        )
+        .into());
     }
-    let hashed = session::Password::hash(plain.as_bytes(), salt.try_into()?).to_string();
+    let hashed = session::PasswordHash::new(plain.as_bytes(), salt.try_into()?).to_string();
     match (json, generate) {
         (true, true) => println!("{}", json!({"plain": plain, "password": hashed})),
         (true, false) => println!("{}", json!({"password": hashed})),
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -6,7 +6,7 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 use resp::{BodyFormat, Command, CommandParser, MemoryBudget, Protocol, Reply, MAX_BUFFERED_VALUE_BYTES};
-use session::{Said, Session, Users};
+use session::{CommandOutcome, Session, Users};
 use slab::Slab;
 use std::borrow::Cow;
 use std::collections::VecDeque;
@@ -433,8 +433,8 @@
 
     fn command(&mut self, key: usize, command: Command, config: &Config) {
         let Some(client) = self.all.get_mut(key) else { return };
-        if let Said::Answer(answer) = client.session.take(&command, &self.users) {
-            if answer.good {
+        if let CommandOutcome::Answer(answer) = client.session.handle(&command, &self.users) {
+            if answer.accepted {
                 client.newcomer = None;
             }
             client.closing |= answer.close;
@@ -444,7 +444,7 @@
         }
         let whole = command.is_complete();
         let query = Query::read(command, config).map_err(Cow::from).and_then(|query| {
-            client.session.may_ask_for(query.tenant, &self.users).map_err(Cow::from).map(|()| query)
+            client.session.check_tenant(query.tenant, &self.users).map_err(Cow::from).map(|()| query)
         });
         match query {
             // Untouched, it may always be refused.
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -9,7 +9,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use session::{Password, User, Users};
+use session::{PasswordHash, User, Users};
 
 /// A socket that listens at an address.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -42,7 +42,7 @@
 pub fn users(told: &operator::Clients, tenants: &[String]) -> Result<Users, String> {
     let read = |(i, user): (usize, &operator::User)| {
         let fault = |key: &str, what: String| format!("clients.users[{i}].{key}: {what}");
-        let password = user.password.as_deref().map(Password::parse).transpose();
+        let password = user.password.as_deref().map(PasswordHash::parse).transpose();
         let number = |name: &String| {
             let at = tenants.iter().position(|t| t == name).map(|t| t as u32);
             at.ok_or_else(|| fault("tenants", format!("the settings have no customer {name:?}")))
--- a/crates/proxy/tests/library.rs
+++ b/crates/proxy/tests/library.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_library_logs_in_or_is_told_why_not() {
-    let hashed = session::Password::hash(b"swap", [1; session::SALT]);
+    let hashed = session::PasswordHash::new(b"swap", [1; session::SALT_BYTES]);
     let setting = start(&format!(
         "version = 1\nboxes.resp3 = true\n[[clients.users]]\nname = \"kiosk\"\npassword = \"{hashed}\"\n"
     ));
--- a/crates/proxy/tests/resp3.rs
+++ b/crates/proxy/tests/resp3.rs
@@ -172,7 +172,7 @@
 
 /// An operator's file with users.
 fn users() -> String {
-    let hashed = |p: &str| session::Password::hash(p.as_bytes(), [7; session::SALT]);
+    let hashed = |p: &str| session::PasswordHash::new(p.as_bytes(), [7; session::SALT_BYTES]);
     let (kiosk, rider) = (hashed("swap"), hashed("ride"));
     format!(
         "version = 1\n[[clients.users]]\nname = \"kiosk\"\npassword = \"{kiosk}\"\n\
@@ -213,7 +213,7 @@
         let guesses = encode(&["AUTH", "kiosk", "guess"]).repeat(64);
         flood.send(guesses);
         let answers = String::from_utf8(flood.rest()).expect("text");
-        assert_eq!(answers.matches("-WRONGPASS").count(), usize::from(session::MAX_FAILURES));
+        assert_eq!(answers.matches("-WRONGPASS").count(), usize::from(session::MAX_LOGIN_FAILURES));
     }
     let mut client = proxy.client();
     client.send(encode(&["AUTH", "kiosk", "swap"]));
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -7,13 +7,15 @@
 
 mod users;
 
-pub use users::{NotHashed, Password, User, Users, DEFAULT, MAX_PASSWORD, SALT};
+pub use users::{
+    InvalidPasswordHash, PasswordHash, User, Users, DEFAULT_USER, MAX_PASSWORD_BYTES, SALT_BYTES,
+};
 
 use resp::{Command, Frame, Protocol};
 use std::borrow::Cow;
 
 /// Wrong passwords on one connection, after which it is closed.
-pub const MAX_FAILURES: u8 = 8;
+pub const MAX_LOGIN_FAILURES: u8 = 8;
 /// The longest name of a connection.
 const MAX_NAME: usize = 256;
 
@@ -35,26 +37,26 @@
     /// The connection is to be closed behind it.
     pub close: bool,
     /// The command was understood and granted: whoever sent it speaks the protocol and may do so.
-    pub good: bool,
+    pub accepted: bool,
     /// It gave a password that is wrong.
     pub wrong_password: bool,
 }
 
 impl Answer {
     fn new(bytes: &'static [u8]) -> Self {
-        Answer { bytes: bytes.into(), close: false, good: true, wrong_password: false }
+        Answer { bytes: bytes.into(), close: false, accepted: true, wrong_password: false }
     }
 
     fn frame(frame: &Frame, protocol: Protocol) -> Self {
         let mut bytes = Vec::new();
         frame.write(protocol, &mut bytes);
-        Answer { bytes: bytes.into(), close: false, good: true, wrong_password: false }
+        Answer { bytes: bytes.into(), close: false, accepted: true, wrong_password: false }
     }
 
     /// An error line.
     fn error(text: impl AsRef<str>) -> Self {
         let bytes = format!("-{}\r\n", text.as_ref()).into_bytes();
-        Answer { bytes: bytes.into(), close: false, good: false, wrong_password: false }
+        Answer { bytes: bytes.into(), close: false, accepted: false, wrong_password: false }
     }
 
     fn ok() -> Self {
@@ -64,7 +66,7 @@
 
 /// What a command is.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum CommandOutcome {
     /// It is about the connection, and this is its answer.
     Answer(Answer),
     /// It is a read or write of the cache, and this user may call it.
@@ -96,7 +98,7 @@
     ///
     /// # Errors
     /// The line that says so.
-    pub fn may_ask_for(&self, tenant: Option<u32>, users: &Users) -> Result<(), String> {
+    pub fn check_tenant(&self, tenant: Option<u32>, users: &Users) -> Result<(), String> {
         let user = self.user.and_then(|u| users.get(u));
         match user.and_then(|u| Some((u, u.tenants.as_ref()?))) {
             Some((user, tenants)) if !tenant.is_some_and(|t| tenants.contains(&t)) => {
@@ -107,13 +109,13 @@
     }
 
     /// Takes a command. What changes by it changes now: commands behind it are answered accordingly.
-    pub fn take(&mut self, command: &Command, users: &Users) -> Said {
+    pub fn handle(&mut self, command: &Command, users: &Users) -> CommandOutcome {
         let name = command.arg(0);
         let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
         if is("CACHE.GET") || is("CACHE.SET") {
-            return self.granted(name, users).map_or(Said::Request, Said::Answer);
+            return self.granted(name, users).map_or(CommandOutcome::Request, CommandOutcome::Answer);
         }
-        Said::Answer(if is("HELLO") {
+        CommandOutcome::Answer(if is("HELLO") {
             self.hello(command, users)
         } else if is("AUTH") {
             self.auth(command, users)
@@ -131,7 +133,7 @@
 
     /// The error for a command that its user may not call.
     fn granted(&self, name: &[u8], users: &Users) -> Option<Answer> {
-        if !users.wanted() {
+        if !users.authentication_required() {
             return None;
         }
         let Some(user) = self.user.and_then(|u| users.get(u)) else { return Some(Answer::error(NOAUTH)) };
@@ -209,14 +211,14 @@
     /// Finds a user, and counts where there is none.
     fn login(&mut self, name: &[u8], password: &[u8], users: &Users) -> Result<Option<usize>, Answer> {
         // Without users there is the default one alone, and any password is right.
-        if !users.wanted() && name == DEFAULT.as_bytes() {
+        if !users.authentication_required() && name == DEFAULT_USER.as_bytes() {
             return Ok(None);
         }
         match users.find(name, password) {
             Some(user) => Ok(Some(user)),
             None => {
                 self.failures = self.failures.saturating_add(1);
-                let close = self.failures >= MAX_FAILURES;
+                let close = self.failures >= MAX_LOGIN_FAILURES;
                 Err(Answer { close, wrong_password: true, ..Answer::error(WRONG) })
             }
         }
@@ -224,8 +226,10 @@
 
     fn auth(&mut self, command: &Command, users: &Users) -> Answer {
         let (name, password) = match command.arity() {
-            2 if !users.wanted() || users.open().is_some() => return Answer::error(NO_PASSWORD),
-            2 => (DEFAULT.as_bytes(), command.arg(1)),
+            2 if !users.authentication_required() || users.open().is_some() => {
+                return Answer::error(NO_PASSWORD)
+            }
+            2 => (DEFAULT_USER.as_bytes(), command.arg(1)),
             3 => (command.arg(1), command.arg(2)),
             1 => return wrong_arity("AUTH"),
             _ => return Answer::error("ERR syntax error"),
@@ -272,7 +276,7 @@
             Some(Ok(user)) => user,
             None => self.user,
         };
-        if users.wanted() && user.is_none() {
+        if users.authentication_required() && user.is_none() {
             return Answer::error(NOAUTH_HELLO);
         }
         if name.is_some_and(|n| !fits(n)) {
--- a/crates/session/tests/session.rs
+++ b/crates/session/tests/session.rs
@@ -23,9 +23,9 @@
 
     fn answer(&mut self, words: &str) -> Answer {
         let words: Vec<&str> = words.split(' ').collect();
-        match self.session.take(&command(&words), &self.users) {
-            Said::Answer(answer) => answer,
-            Said::Request => panic!("{words:?} is a request"),
+        match self.session.handle(&command(&words), &self.users) {
+            CommandOutcome::Answer(answer) => answer,
+            CommandOutcome::Request => panic!("{words:?} is a request"),
         }
     }
 
@@ -34,9 +34,9 @@
     }
 
     fn asks(&mut self, command_name: &str) -> Result<(), String> {
-        match self.session.take(&command(&[command_name, "1", "a", "c=read"]), &self.users) {
-            Said::Request => Ok(()),
-            Said::Answer(answer) => Err(String::from_utf8_lossy(&answer.bytes).into_owned()),
+        match self.session.handle(&command(&[command_name, "1", "a", "c=read"]), &self.users) {
+            CommandOutcome::Request => Ok(()),
+            CommandOutcome::Answer(answer) => Err(String::from_utf8_lossy(&answer.bytes).into_owned()),
         }
     }
 }
@@ -44,7 +44,7 @@
 fn user(name: &str, password: Option<&str>, commands: &[&str]) -> User {
     User {
         name: name.into(),
-        password: password.map(|p| Password::hash(p.as_bytes(), [9; SALT])),
+        password: password.map(|p| PasswordHash::new(p.as_bytes(), [9; SALT_BYTES])),
         commands: (!commands.is_empty()).then(|| commands.iter().map(|c| (*c).to_owned()).collect()),
         tenants: None,
     }
@@ -80,7 +80,9 @@
         );
     }
     let spaced = command(&["HELLO", "2", "SETNAME", "a b"]);
-    let Said::Answer(refused) = client.session.take(&spaced, &client.users) else { panic!("a request") };
+    let CommandOutcome::Answer(refused) = client.session.handle(&spaced, &client.users) else {
+        panic!("a request")
+    };
     assert!(refused.bytes.starts_with(b"-ERR Client names") && client.session.protocol() == Protocol::Three);
     // Any password is the default user's where there are no users; and the protocol can be taken back.
     assert!(client.says("HELLO 2 AUTH default x").starts_with("*14\r\n"));
@@ -142,7 +144,7 @@
     assert_eq!(client.asks("CACHE.SET"), Err(noperm.into()));
     // A wrong password changes nothing; the right one of another user does.
     let wrong = client.answer("AUTH kiosk secreT");
-    assert!(wrong.wrong_password && !wrong.close && !wrong.good);
+    assert!(wrong.wrong_password && !wrong.close && !wrong.accepted);
     assert_eq!(client.asks("CACHE.GET"), Ok(()));
     assert_eq!(client.says("AUTH other"), "+OK\r\n");
     assert_eq!(client.asks("CACHE.SET"), Ok(()));
@@ -157,30 +159,30 @@
 #[test]
 fn a_flood_of_wrong_passwords_ends_the_connection_also_over_resets() {
     let mut client = Client::new(vec![user("kiosk", Some("secret"), &[])]);
-    for i in 1..=MAX_FAILURES {
-        let long = "x".repeat(MAX_PASSWORD + 1);
+    for i in 1..=MAX_LOGIN_FAILURES {
+        let long = "x".repeat(MAX_PASSWORD_BYTES + 1);
         let answer = client
             .answer(["AUTH kiosk a", "AUTH nobody a", &format!("AUTH kiosk {long}")][usize::from(i) % 3]);
         assert!(answer.wrong_password);
-        assert_eq!(answer.close, i == MAX_FAILURES, "{i}");
+        assert_eq!(answer.close, i == MAX_LOGIN_FAILURES, "{i}");
         client.says("RESET");
     }
 }
 
 #[test]
 fn a_password_is_kept_hashed_and_read_back() {
-    let kept = Password::hash(b"secret", [3; SALT]);
+    let kept = PasswordHash::new(b"secret", [3; SALT_BYTES]);
     let text = kept.to_string();
-    assert!(!text.contains("secret") && Password::parse(&text) == Ok(kept.clone()));
-    assert_ne!(Password::hash(b"secret", [4; SALT]), kept);
+    assert!(!text.contains("secret") && PasswordHash::parse(&text) == Ok(kept.clone()));
+    assert_ne!(PasswordHash::new(b"secret", [4; SALT_BYTES]), kept);
     for bad in ["secret", "sha256:00:00", &text[..text.len() - 1], &text.replace("sha256", "md5")] {
-        assert_eq!(Password::parse(bad), Err(NotHashed), "{bad}");
+        assert_eq!(PasswordHash::parse(bad), Err(InvalidPasswordHash), "{bad}");
     }
     // Its limit cuts no password short: one that only begins like it is another.
-    let long = vec![b'x'; MAX_PASSWORD];
+    let long = vec![b'x'; MAX_PASSWORD_BYTES];
     let mut client = Client::new(vec![user("a", Some(std::str::from_utf8(&long).expect("text")), &[])]);
-    assert!(client.says(&format!("AUTH a {}x", "x".repeat(MAX_PASSWORD))).starts_with("-WRONGPASS"));
-    assert_eq!(client.says(&format!("AUTH a {}", "x".repeat(MAX_PASSWORD))), "+OK\r\n");
+    assert!(client.says(&format!("AUTH a {}x", "x".repeat(MAX_PASSWORD_BYTES))).starts_with("-WRONGPASS"));
+    assert_eq!(client.says(&format!("AUTH a {}", "x".repeat(MAX_PASSWORD_BYTES))), "+OK\r\n");
 }
 
 #[test]
@@ -189,7 +191,7 @@
     limited.tenants = Some(vec![2]);
     let mut client = Client::new(vec![limited]);
     client.says("AUTH partner p");
-    let may = |t| client.session.may_ask_for(t, &client.users);
+    let may = |t| client.session.check_tenant(t, &client.users);
     assert_eq!(may(Some(2)), Ok(()));
     let refused = Err("-NOPERM User partner has no permissions for this tenant\r\n".to_owned());
     assert_eq!((may(Some(1)), may(None)), (refused.clone(), refused));
