--- a/crates/resp/fuzz/fuzz_targets/frames.rs
+++ b/crates/resp/fuzz/fuzz_targets/frames.rs
@@ -25,7 +25,7 @@
 fuzz_target!(|data: &[u8]| {
     let Some((cut, input)) = data.split_first() else { return };
     let at = usize::from(*cut) % (input.len() + 1);
-    let limits = Limits { depth: 6, elements: 64, blob: 256, bytes: 1 << 10 };
+    let limits = Limits { max_depth: 6, max_elements: 64, max_blob_bytes: 256, max_total_bytes: 1 << 10 };
     let whole = read([input, &[]], limits);
     let halves = read([&input[..at], &input[at..]], limits);
     // By their text: NaN is not its own equal.
@@ -33,7 +33,7 @@
     for frame in whole.unwrap_or_else(|(frames, _)| frames) {
         let mut out = Vec::new();
         frame.write(Protocol::Three, &mut out);
-        let back = read([&out, &[]], Limits { bytes: 1 << 20, ..Limits::default() }).expect("reads back");
+        let back = read([&out, &[]], Limits { max_total_bytes: 1 << 20, ..Limits::default() }).expect("reads back");
         assert_eq!(format!("{back:?}"), format!("{:?}", [&frame]));
         out.clear();
         frame.write(Protocol::Two, &mut out);
--- a/crates/resp/src/decode.rs
+++ b/crates/resp/src/decode.rs
@@ -7,22 +7,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Groups within groups.
-    pub depth: usize,
+    pub max_depth: usize,
     /// Elements of all groups together; a pair of a map counts as two.
-    pub elements: usize,
+    pub max_elements: usize,
     /// Bytes of one blob, all its chunks together.
-    pub blob: usize,
+    pub max_blob_bytes: usize,
     /// Bytes of all lines and blobs together.
-    pub bytes: usize,
+    pub max_total_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            depth: 16,
-            elements: 1 << 10,
-            blob: MAX_BUFFERED_VALUE_BYTES,
-            bytes: 4 * MAX_BUFFERED_VALUE_BYTES,
+            max_depth: 16,
+            max_elements: 1 << 10,
+            max_blob_bytes: MAX_BUFFERED_VALUE_BYTES,
+            max_total_bytes: 4 * MAX_BUFFERED_VALUE_BYTES,
         }
     }
 }
@@ -414,7 +414,7 @@
             self.push(Level::Counted(group, count))?;
             return if count == 0 { self.close(tell) } else { Ok(None) };
         }
-        if length > self.limits.blob {
+        if length > self.limits.max_blob_bytes {
             return Err(ProtocolError("invalid bulk length"));
         }
         self.spend(0, length)?;
@@ -428,7 +428,7 @@
                     return Err(ProtocolError("a chunk of nothing"));
                 };
                 *sum += length;
-                if *sum > self.limits.blob {
+                if *sum > self.limits.max_blob_bytes {
                     return Err(ProtocolError("invalid bulk length"));
                 }
                 if length == 0 {
@@ -452,7 +452,7 @@
     }
 
     fn push(&mut self, level: Level) -> Result<(), ProtocolError> {
-        if self.levels.len() >= self.limits.depth {
+        if self.levels.len() >= self.limits.max_depth {
             return Err(ProtocolError("nested too deep"));
         }
         self.levels.push(level);
@@ -463,7 +463,7 @@
     fn spend(&mut self, elements: usize, bytes: usize) -> Result<(), ProtocolError> {
         self.spent.elements = self.spent.elements.saturating_add(elements);
         self.spent.bytes = self.spent.bytes.saturating_add(bytes);
-        if self.spent.elements > self.limits.elements || self.spent.bytes > self.limits.bytes {
+        if self.spent.elements > self.limits.max_elements || self.spent.bytes > self.limits.max_total_bytes {
             return Err(ProtocolError("too long"));
         }
         Ok(())
--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -172,7 +172,7 @@
 
 impl FrameBuilder {
     /// Takes an event; the frame that it made whole, if that is an element of nothing: one at the top, or a push.
-    pub fn take(&mut self, event: Event<'_>) -> Option<Frame> {
+    pub fn add_event(&mut self, event: Event<'_>) -> Option<Frame> {
         let frame = match event {
             Event::Null => Frame::Null,
             Event::Boolean(b) => Frame::Boolean(b),
@@ -263,7 +263,7 @@
         let mut whole = None;
         let builder = &mut self.builder;
         let (used, end) = self.decoder.feed(input, |event| {
-            whole = builder.take(event).or(whole.take());
+            whole = builder.add_event(event).or(whole.take());
             Ok(())
         })?;
         debug_assert_eq!(matches!(end, Some(Completed::Push)), matches!(whole, Some(Frame::Push(_))));
--- a/crates/resp/src/three.rs
+++ b/crates/resp/src/three.rs
@@ -271,8 +271,8 @@
         let usual = Limits::default();
         Resp3ReplyParser {
             decoder: Decoder::new(Limits {
-                blob: MAX_STREAMED_VALUE_BYTES,
-                bytes: MAX_STREAMED_VALUE_BYTES + usual.bytes,
+                max_blob_bytes: MAX_STREAMED_VALUE_BYTES,
+                max_total_bytes: MAX_STREAMED_VALUE_BYTES + usual.max_total_bytes,
                 ..usual
             }),
             reading: Reading::default(),
@@ -334,11 +334,11 @@
                 // What nobody asked for is kept whole, so it may not be long.
                 if let Event::BlobBytes(bytes) = event {
                     *kept += bytes.len();
-                    if *kept > Limits::default().bytes {
+                    if *kept > Limits::default().max_total_bytes {
                         return Err(ProtocolError("too long"));
                     }
                 }
-                pushed = push.take(event).or(pushed.take());
+                pushed = push.add_event(event).or(pushed.take());
                 return Ok(());
             }
             reading.take(event)
@@ -368,10 +368,10 @@
 impl Default for HelloReplyParser {
     fn default() -> Self {
         HelloReplyParser(FrameReader::new(Limits {
-            depth: 8,
-            elements: 256,
-            blob: MAX_LINE,
-            bytes: 16 << 10,
+            max_depth: 8,
+            max_elements: 256,
+            max_blob_bytes: MAX_LINE,
+            max_total_bytes: 16 << 10,
         }))
     }
 }
--- a/crates/resp/tests/frames.rs
+++ b/crates/resp/tests/frames.rs
@@ -147,7 +147,7 @@
             let at = at % bytes.len();
             bytes[at] = byte;
         }
-        let limits = Limits { depth: 6, elements: 64, blob: 512, bytes: 1 << 10 };
+        let limits = Limits { max_depth: 6, max_elements: 64, max_blob_bytes: 512, max_total_bytes: 1 << 10 };
         let whole = read(&[&bytes], limits);
         let cut = read(&split(&bytes, &cuts), limits);
         // NaN is not its own equal.
@@ -207,7 +207,7 @@
 
 #[test]
 fn every_bound_holds_for_nested_and_streamed_forms_too() {
-    let limits = Limits { depth: 4, elements: 64, blob: 512, bytes: 1 << 10 };
+    let limits = Limits { max_depth: 4, max_elements: 64, max_blob_bytes: 512, max_total_bytes: 1 << 10 };
     let refused = |text: &str, why: &str| {
         let error = read(&[text.as_bytes()], limits).expect_err(why);
         assert_eq!(error.0, why, "{:?}", text.get(..40).unwrap_or(text));
