--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -26,7 +26,7 @@
 use mio::Registry;
 use node::Node;
 use pipeline::{BoxLatencies, PipelineConfig};
-use resp::{Frame, Reply, Shape};
+use resp::{BodyFormat, Frame, Reply};
 use rustc_hash::{FxHashMap, FxHashSet};
 pub use settings::{hello_command, pipeline_limits};
 use slab::Slab;
@@ -60,7 +60,7 @@
     /// unknown if the attempt had to wait behind another reply.
     Served(RequestId, u32, Reply, Vec<u8>, Option<Nanos>),
     /// An attempt is being served with a long value: the connection's key, what the value is and its length.
-    ValueStarted(RequestId, u32, usize, Shape, usize),
+    ValueStarted(RequestId, u32, usize, BodyFormat, usize),
     /// The next bytes of a long value.
     ValueBytes(RequestId, Vec<u8>),
     /// The end of a long value, with the rest of its reply.
--- a/crates/proxy/src/boxes/read.rs
+++ b/crates/proxy/src/boxes/read.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::{Boxes, NodeEvent};
 use calicosaddle::api::{Nanos, RequestId, Status};
-use resp::{Item, Kind, Part, Protocol, Reply, ReplyReader};
+use resp::{Protocol, Reply, ReplyKind, ReplyPart, ReplyReader, ServerMessage};
 use std::io::{self, Read};
 
 /// Reads from one connection before other sockets have their turn.
@@ -114,17 +114,17 @@
                 self.close_unreadable(key);
                 return true;
             };
-            if !resp3 && head != Some(None) && !matches!(item, Some(Item::Part(_))) {
+            if !resp3 && head != Some(None) && !matches!(item, Some(ServerMessage::Part(_))) {
                 c.reply_bytes.extend_from_slice(&input[..used]);
             }
             input = &input[used..];
             let (reply, value) = match item {
-                Some(Item::Reply(reply, value)) => (reply, value),
-                Some(Item::Part(part)) => match self.process_part(key, part) {
+                Some(ServerMessage::Reply(reply, value)) => (reply, value),
+                Some(ServerMessage::Part(part)) => match self.process_part(key, part) {
                     Some(reply) => (reply, Vec::new()),
                     None => continue,
                 },
-                Some(Item::Push(frames)) => {
+                Some(ServerMessage::Push(frames)) => {
                     self.events.push_back(NodeEvent::Push(c.server, frames));
                     continue;
                 }
@@ -183,19 +183,19 @@
         let Some((id, attempt)) = answered.tag else { return true };
         self.events.push_back(match reply.kind {
             _ if streamed => NodeEvent::ValueComplete(id, reply),
-            Kind::Served => {
+            ReplyKind::Served => {
                 let response_time = (!answered.pipelined).then_some(answered.latency);
                 NodeEvent::Served(id, attempt, reply, bytes, response_time)
             }
-            Kind::Busy => NodeEvent::Ended(id, attempt, Status::Rejected, reply),
-            Kind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
+            ReplyKind::Busy => NodeEvent::Ended(id, attempt, Status::Rejected, reply),
+            ReplyKind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
         });
         true
     }
 
     /// Processes a part of a long value; returns its reply once that is complete. The parts of a value whose attempt
     /// was cancelled are dropped.
-    fn process_part(&mut self, key: usize, part: Part) -> Option<Reply> {
+    fn process_part(&mut self, key: usize, part: ReplyPart) -> Option<Reply> {
         let c = self.connections.get_mut(key)?;
         c.reply_bytes.clear();
         if let Some((id, attempt)) = c.pipeline.head().flatten() {
--- a/crates/proxy/src/boxes/settings.rs
+++ b/crates/proxy/src/boxes/settings.rs
@@ -13,7 +13,7 @@
 /// # Errors
 /// The password file is unreadable or its content is out of bounds; the message names the key and the file.
 pub fn hello_command(options: &operator::Boxes) -> Result<Option<Vec<u8>>, String> {
-    let mut words = vec![Frame::text("HELLO"), Frame::text("3")];
+    let mut words = vec![Frame::bulk_string("HELLO"), Frame::bulk_string("3")];
     if let (Some(user), Some(path)) = (&options.user, &options.password_file) {
         let error = |what: String| format!("boxes.password_file: {}: {what}", path.display());
         let password = std::fs::read_to_string(path).map_err(|e| error(format!("can't be read: {e}")))?;
@@ -21,7 +21,7 @@
         if password.is_empty() || password.len() > MAX_PASSWORD_BYTES {
             return Err(error(format!("must contain a password of 1 to {MAX_PASSWORD_BYTES} bytes")));
         }
-        words.extend([Frame::text("AUTH"), Frame::text(user), Frame::text(password)]);
+        words.extend([Frame::bulk_string("AUTH"), Frame::bulk_string(user), Frame::bulk_string(password)]);
     }
     let mut bytes = Vec::new();
     Frame::Array(words).write(Protocol::Two, &mut bytes);
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -4,7 +4,7 @@
 use super::connection::Connection;
 use super::{Boxes, NodeEvent, MAX_IDLE_BUFFER_BYTES, MS};
 use calicosaddle::api::{Nanos, Status};
-use resp::{Greeting, Reply};
+use resp::{HelloReplyParser, Reply};
 use std::io::{self, IoSlice, Write};
 
 /// Bytes read at once from a connection that has unread input before a write.
@@ -176,7 +176,7 @@
             if std::mem::take(&mut c.sends_hello) {
                 // Sent together with the first command, so that it costs no round trip.
                 c.write_buffer.extend(self.hello.iter().flatten());
-                c.hello_reply = Some(Greeting::default());
+                c.hello_reply = Some(HelloReplyParser::default());
             }
             let remaining_ms = ((queued.deadline - now) / MS).max(1);
             queued.query.encode(remaining_ms, &mut c.write_buffer);
--- a/crates/proxy/src/observers.rs
+++ b/crates/proxy/src/observers.rs
@@ -100,8 +100,8 @@
         let mut observers = Observers::default();
         observers.subscribers.push(Box::new(Recorder(std::rc::Rc::clone(&received))));
         observers.notify(Notification::Arrived);
-        observers.notify(Notification::Push(7, &[Frame::text("invalidate"), Frame::Null]));
-        assert_eq!(*received.borrow(), [(7, Frame::text("invalidate"))]);
+        observers.notify(Notification::Push(7, &[Frame::bulk_string("invalidate"), Frame::Null]));
+        assert_eq!(*received.borrow(), [(7, Frame::bulk_string("invalidate"))]);
         assert_eq!((observers.counters.accepted, observers.counters.pushes), (1, 1));
     }
 }
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -18,7 +18,7 @@
 use control::State;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Registry};
-use resp::{Kind, Reply, ReplyParser};
+use resp::{Reply, ReplyKind, ReplyParser};
 use shadow::sample::{Digest, Tenants, WHOLE};
 use shadow::verdict::Tolerance;
 use shadow::{Copy, Ended, Kept, Read, Refused, Settings, Shadow, Side, Vitals};
@@ -345,10 +345,10 @@
         let value = c.reply_bytes.get(reply.value.clone()).unwrap_or_default();
         let side = match reply.kind {
             _ if is_long || value.len() > self.max_value_bytes || used < input.len() => Side::Error,
-            Kind::Served => Side::Value(Digest::of(value)),
-            Kind::Busy => Side::Busy,
-            Kind::Failed if c.reply_bytes.first() == Some(&b'*') => Side::Missing,
-            Kind::Failed => Side::Error,
+            ReplyKind::Served => Side::Value(Digest::of(value)),
+            ReplyKind::Busy => Side::Busy,
+            ReplyKind::Failed if c.reply_bytes.first() == Some(&b'*') => Side::Missing,
+            ReplyKind::Failed => Side::Error,
         };
         (c.copy, c.last_used) = (None, now);
         c.reply_bytes.clear();
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -10,7 +10,7 @@
 use crate::request::ReplySlot;
 use crate::Proxy;
 use calicosaddle::api::RequestId;
-use resp::{Reply, Shape};
+use resp::{BodyFormat, Reply};
 use rustc_hash::FxHashMap;
 
 /// A value that is being streamed.
@@ -36,7 +36,13 @@
 impl Proxy {
     /// Begins to stream a value that starts to arrive on a node connection. If its request is already answered, the
     /// value is dropped as it arrives.
-    pub(crate) fn start_stream(&mut self, id: RequestId, connection: usize, shape: Shape, length: usize) {
+    pub(crate) fn start_stream(
+        &mut self,
+        id: RequestId,
+        connection: usize,
+        shape: BodyFormat,
+        length: usize,
+    ) {
         let Some((slot, class)) = self.requests.answer(id) else { return };
         self.clients.begin(slot, shape, length);
         self.streamed_values.0.insert(id, StreamedValue { slot, class, connection });
