--- a/crates/proxy/src/boxes/connection.rs
+++ b/crates/proxy/src/boxes/connection.rs
@@ -5,7 +5,7 @@
 use addresses::ConnectionRace;
 use calicosaddle::api::{Nanos, RequestId, ServerId};
 use pipeline::{CommandKind, Pipeline};
-use resp::{Greeting, Protocol, ReplyReader};
+use resp::{HelloReplyParser, Protocol, ReplyReader};
 use std::rc::Rc;
 
 /// The longest written value that is copied behind its command. A longer one is sent from its own buffer.
@@ -67,7 +67,7 @@
     /// `HELLO 3` is sent together with the first attempt.
     pub sends_hello: bool,
     /// Parses the answer to `HELLO`, from its sending until the answer is complete.
-    pub hello_reply: Option<Greeting>,
+    pub hello_reply: Option<HelloReplyParser>,
     /// Parses the replies.
     pub reader: ReplyReader,
     /// Bytes of the reply being read.
@@ -100,7 +100,7 @@
 
     /// A reply has been received in part.
     pub fn mid_reply(&self) -> bool {
-        self.reader.midway() || self.hello_reply.as_ref().is_some_and(Greeting::midway)
+        self.reader.in_progress() || self.hello_reply.as_ref().is_some_and(HelloReplyParser::in_progress)
     }
 
     /// It uses RESP3.
