--- a/crates/proxy/src/boxes/read.rs
+++ b/crates/proxy/src/boxes/read.rs
@@ -20,8 +20,8 @@
         std::mem::take(&mut self.unread)
     }
 
-    /// Handles readiness of a connection's socket: connects, writes and reads, up to a bound. `closed` states that the
-    /// other end is known to have closed or failed.
+    /// Handles readiness of a connection's socket: connects, writes and reads, up to a bound. With `closed`, an
+    /// end of stream may follow a short read, so reading goes on after it.
     pub fn ready(&mut self, key: usize, closed: bool, buffer: &mut [u8], now: Nanos) {
         let Some(c) = self.connections.get_mut(key) else { return };
         if !c.connected {
@@ -110,15 +110,15 @@
             if head.is_none() && !resp3 {
                 return false;
             }
-            let Ok((used, item)) = c.reader.feed(input) else {
+            let Ok((used, message)) = c.reader.feed(input) else {
                 self.close_unreadable(key);
                 return true;
             };
-            if !resp3 && head != Some(None) && !matches!(item, Some(ServerMessage::Part(_))) {
+            if !resp3 && head != Some(None) && !matches!(message, Some(ServerMessage::Part(_))) {
                 c.reply_bytes.extend_from_slice(&input[..used]);
             }
             input = &input[used..];
-            let (reply, value) = match item {
+            let (reply, value) = match message {
                 Some(ServerMessage::Reply(reply, value)) => (reply, value),
                 Some(ServerMessage::Part(part)) => match self.process_part(key, part) {
                     Some(reply) => (reply, Vec::new()),
