--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -5,8 +5,8 @@
 use crate::process::Process;
 use control::message::{Answer as Told, Page, Phase, Status};
 use control::{Op, State};
-use fleet::plan::{is_name, Wanted};
-use fleet::{Action, Answer, Command, Event, Fleet, Millis, Policy, Rejection, Report, Request};
+use fleet::plan::{is_valid_name, DesiredInstance};
+use fleet::{Action, Command, Event, Fleet, Millis, Policy, Rejection, Report, Request, Response};
 use rustix::process::Signal;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -65,7 +65,7 @@
     /// A contact heard something.
     Heard(String, u32, Heard),
     /// An endpoint answered a request of the fleet's.
-    Answered(String, u32, Option<Answer>),
+    Answered(String, u32, Option<Response>),
     /// A command, and where what became of it goes.
     Submit {
         /// Its id.
@@ -257,8 +257,8 @@
             Message::Heard(name, pid, heard) if current(self, &name, pid) => self.heard(name, heard)?,
             Message::Answered(name, pid, answer) if current(self, &name, pid) => {
                 self.event(match answer {
-                    Some(answer) => Event::Answered { name, answer },
-                    None => Event::Silent { name },
+                    Some(response) => Event::Responded { name, response },
+                    None => Event::ContactLost { name },
                 })?
             }
             Message::Heard(..) | Message::Answered(..) | Message::Stop => {}
@@ -267,7 +267,7 @@
                 let _ = answer.send(done);
             }
             Message::Operation(id, answer) => {
-                let state = self.fleet.state(&id).map(|s| json!({"id": id, "state": s}));
+                let state = self.fleet.operation_status(&id).map(|s| json!({"id": id, "state": s}));
                 let _ = answer.send(state);
             }
             Message::Fleet(answer) => {
@@ -289,7 +289,7 @@
     fn act(&mut self, actions: Vec<Action>) -> Result<(), JournalError> {
         for action in actions {
             match action {
-                Action::Journal(records) => {
+                Action::WriteJournal(records) => {
                     self.journal.write(&records, self.fleet.plan())?;
                     crash_point();
                     self.changed.send_modify(|n| *n += 1);
@@ -319,7 +319,7 @@
                 }
                 Action::Terminate(name) => self.signal(&name, Signal::TERM),
                 Action::Kill(name) => self.signal(&name, Signal::KILL),
-                Action::Send { name, request } => self.send(name, request),
+                Action::SendRequest { name, request } => self.send(name, request),
             }
         }
         Ok(())
@@ -413,7 +413,7 @@
                 self.known.insert(name, known);
                 Ok(())
             }
-            Heard::Silent => self.event(Event::Silent { name }),
+            Heard::Silent => self.event(Event::ContactLost { name }),
         }
     }
 
@@ -430,7 +430,7 @@
             Some((h["host"].as_str()?.to_owned(), (zone, h["health"] == "up")))
         };
         let boxes = hosts.iter().filter_map(one).collect();
-        self.fleet.handle(self.now(), Event::Boxes(boxes), &mut Vec::new());
+        self.fleet.handle(self.now(), Event::BoxesUpdated(boxes), &mut Vec::new());
     }
 
     fn send(&self, name: String, request: Request) {
@@ -453,7 +453,7 @@
                         Op::Reconfigure { generation, config: Box::new(config), dry_run: false }
                     }
                     Err(why) => {
-                        let _ = messages.send(Message::Answered(name, pid, Some(Answer::Refused(why))));
+                        let _ = messages.send(Message::Answered(name, pid, Some(Response::Rejected(why))));
                         return;
                     }
                 }
@@ -466,9 +466,9 @@
                 None => None,
             };
             let answer = answered.map(|told| match told {
-                Ok(Told::Reconfigured(r)) if !r.applied => Answer::NeedsRestart,
-                Ok(_) => Answer::Done,
-                Err(e) => Answer::Refused(e.message),
+                Ok(Told::Reconfigured(r)) if !r.applied => Response::RestartRequired,
+                Ok(_) => Response::Applied,
+                Err(e) => Response::Rejected(e.message),
             });
             let _ = messages.send(Message::Answered(name, pid, answer));
         });
@@ -580,7 +580,7 @@
             },
         };
         if dry_run {
-            let checked = self.fleet.check(&command, force);
+            let checked = self.fleet.validate(&command, force);
             return Ok(
                 checked.map(|()| json!({"generation": self.fleet.plan().generation, "changes": changes}))
             );
@@ -599,7 +599,7 @@
         let mut instances = BTreeMap::new();
         for (name, instance) in desired.instances {
             let invalid = |what: String| Rejection::Invalid(format!("{name}: {what}"));
-            if !is_name(&name) {
+            if !is_valid_name(&name) {
                 return Err(invalid("is no name: 1 to 64 of a-z A-Z 0-9 - _ ., not first .".into()));
             }
             let length = link::socket(&self.place(&name)).as_os_str().len();
@@ -642,7 +642,7 @@
                 }
                 Some(_) => {}
             }
-            instances.insert(name, Wanted { zone: instance.zone, generation });
+            instances.insert(name, DesiredInstance { zone: instance.zone, generation });
         }
         let gone = plan.instances.keys().filter(|n| !instances.contains_key(*n));
         changes.extend(gone.map(|n| format!("- {n}: ends")));
@@ -659,7 +659,7 @@
         let instances: BTreeMap<&String, Value> =
             plan.instances.keys().map(|name| (name, self.describe_one(name))).collect();
         let rollout = plan.rollout.as_ref().map(|r| {
-            json!({"id": r.id, "state": r.state, "summary": r.describe(), "open": r.state.open(),
+            json!({"id": r.id, "state": r.state, "summary": r.summary(), "open": r.state.is_active(),
                 "done": r.done.len(), "all": r.targets.len(), "current": r.current, "failed": r.failed})
         });
         json!({"generation": plan.generation, "revision": plan.revision, "drained_boxes": plan.drained_boxes,
@@ -668,13 +668,13 @@
 
     fn describe_one(&self, name: &str) -> Value {
         let Some(intent) = self.fleet.plan().instances.get(name) else { return Value::Null };
-        let seen = self.fleet.seen(name);
+        let seen = self.fleet.observed(name);
         let running = self.running.get(name);
         let status = running.and_then(|r| r.status.as_ref());
-        let contact = seen.is_some_and(|s| s.contact);
+        let contact = seen.is_some_and(|s| s.connected);
         let state = match (running, status, contact) {
             (None, ..) if !intent.running => "down",
-            (None, ..) if seen.is_some_and(|s| s.crashes > 0) => "backing-off",
+            (None, ..) if seen.is_some_and(|s| s.consecutive_crashes > 0) => "backing-off",
             (None, ..) => "starting",
             (Some(_), None, _) => "starting",
             (Some(_), Some(_), false) => "unknown",
@@ -692,7 +692,7 @@
             "revision": status.map(|s| s.revision), "list": status.map(|s| &s.list),
             "requests": status.map(|s| s.requests), "counters": status.map(|s| &s.counters),
             "heard_ms": running.map(|r| r.heard.elapsed().as_millis() as u64),
-            "crashes": seen.map_or(0, |s| s.crashes), "trouble": seen.and_then(|s| s.trouble.clone()),
+            "crashes": seen.map_or(0, |s| s.consecutive_crashes), "trouble": seen.and_then(|s| s.last_error.clone()),
         })
     }
 
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -94,7 +94,7 @@
             let records: Vec<Record> =
                 serde_json::from_slice(body).map_err(|e| damaged(at, e.to_string()))?;
             for record in records {
-                plan.take(record).map_err(|e| damaged(at, e.to_string()))?;
+                plan.apply_record(record).map_err(|e| damaged(at, e.to_string()))?;
             }
             at = next;
         }
@@ -152,7 +152,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fleet::{Intent, Key};
+    use fleet::{Intent, RecordKey};
 
     fn plan(n: u64) -> Plan {
         let mut plan = Plan { generation: n, ..Plan::default() };
@@ -162,7 +162,7 @@
 
     fn write(journal: &mut Journal, n: u64) {
         let plan = plan(n);
-        let records = vec![plan.record(Key::Fleet), plan.record(Key::Instance("n0".into()))];
+        let records = vec![plan.record(RecordKey::Fleet), plan.record(RecordKey::Instance("n0".into()))];
         journal.write(&records, &plan).expect("written");
     }
 
--- a/crates/ctl/src/file.rs
+++ b/crates/ctl/src/file.rs
@@ -12,7 +12,7 @@
 //! config = "n0.json"
 //! ```
 
-use fleet::plan::is_name;
+use fleet::plan::is_valid_name;
 use fleet::Policy;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -62,14 +62,14 @@
             file.version
         )]);
     }
-    if let Err(e) = file.policy.check() {
+    if let Err(e) = file.policy.validate() {
         faults.push(format!("{place}: {e}"));
     }
     let mut instances = BTreeMap::new();
     let mut listens = BTreeMap::new();
     for one in file.instance {
         let name = one.name;
-        if !is_name(&name) {
+        if !is_valid_name(&name) {
             faults.push(format!("{place}: instance {name:?}: is no name"));
             continue;
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,12 +5,14 @@
 //! agent that died anywhere goes on from its journal and a look at the machine. No clock, file, process or socket
 //! is touched here; the host hands in events with times and carries out actions in their order.
 //!
-//! The host must have [`Action::Journal`] on disk before it carries out what follows it.
+//! The host must have [`Action::WriteJournal`] on disk before it carries out what follows it.
 
 pub mod plan;
 mod rollout;
 
-pub use plan::{Command, Intent, Key, Operation, Plan, Policy, Record, Rejection, Rollout, RolloutState};
+pub use plan::{
+    Command, Intent, Operation, Plan, Policy, Record, RecordKey, Rejection, Rollout, RolloutState,
+};
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,39 +72,39 @@
         report: Report,
     },
     /// The contact to its control endpoint broke, or an answer did not come in time.
-    Silent {
+    ContactLost {
         /// Instance.
         name: String,
     },
     /// It answered the request that was out.
-    Answered {
+    Responded {
         /// Instance.
         name: String,
         /// What it said.
-        answer: Answer,
+        response: Response,
     },
     /// What instances know of boxes: each with its zone and whether discovery says that it takes work.
-    Boxes(BTreeMap<String, (String, bool)>),
+    BoxesUpdated(BTreeMap<String, (String, bool)>),
     /// Time passes.
     Tick,
 }
 
 /// What an instance said to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// It is done.
-    Done,
+    Applied,
     /// The configuration holds only from a restart on.
-    NeedsRestart,
+    RestartRequired,
     /// It will not do it.
-    Refused(String),
+    Rejected(String),
 }
 
 /// What to do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Keep these before anything that follows is done.
-    Journal(Vec<Record>),
+    WriteJournal(Vec<Record>),
     /// Start an instance, with its drained boxes in force before it serves.
     Start {
         /// Instance.
@@ -120,8 +122,8 @@
     Terminate(String),
     /// End its process (SIGKILL).
     Kill(String),
-    /// Ask its control endpoint for this; [`Event::Answered`] or [`Event::Silent`] is to follow.
-    Send {
+    /// Ask its control endpoint for this; [`Event::Responded`] or [`Event::ContactLost`] is to follow.
+    SendRequest {
         /// Instance.
         name: String,
         /// What.
@@ -150,7 +152,7 @@
 
 /// What is seen of an instance.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ObservedInstance {
     /// Its process, and what that was started for.
     pub process: Option<(u32, u64)>,
     /// A start has been asked for and not answered.
@@ -162,7 +164,7 @@
     /// What it last said, and whether it still speaks.
     pub report: Option<Report>,
     /// It speaks.
-    pub contact: bool,
+    pub connected: bool,
     /// The request that is out.
     sent: Option<Request>,
     /// When it was told to end, and whether it was killed.
@@ -171,19 +173,19 @@
     /// Ready since.
     ready_since: Option<Millis>,
     /// Crashes in a row, and when the next start may be.
-    pub crashes: u32,
+    pub consecutive_crashes: u32,
     /// No start before this.
     pub retry_at: Millis,
     /// The generation that it said needs a restart.
     needs_restart: Option<u64>,
     /// What went wrong last, for people.
-    pub trouble: Option<String>,
+    pub last_error: Option<String>,
 }
 
 /// How an operation stands with one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum Outcome {
     /// It holds.
     Applied,
     /// Under way.
@@ -200,11 +202,11 @@
 
 /// How an operation stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct OperationStatus {
     /// All in one: the least of its instances.
-    pub outcome: Standing,
+    pub outcome: Outcome,
     /// Of each instance that it concerns.
-    pub instances: BTreeMap<String, Standing>,
+    pub instances: BTreeMap<String, Outcome>,
     /// What there is to say, for people.
     pub detail: String,
 }
@@ -213,17 +215,18 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     plan: Plan,
-    seen: BTreeMap<String, Seen>,
+    observed: BTreeMap<String, ObservedInstance>,
     boxes: BTreeMap<String, (String, bool)>,
-    dirty: BTreeSet<Key>,
+    dirty: BTreeSet<RecordKey>,
 }
 
 impl Fleet {
     /// A fleet that goes on from what its journal has. What runs on the machine is to be told next, by
     /// [`Event::Running`] for each process, before the first [`Event::Tick`].
     pub fn new(plan: Plan) -> Self {
-        let seen = plan.instances.keys().map(|name| (name.clone(), Seen::default())).collect();
-        Fleet { plan, seen, ..Fleet::default() }
+        let observed =
+            plan.instances.keys().map(|name| (name.clone(), ObservedInstance::default())).collect();
+        Fleet { plan, observed, ..Fleet::default() }
     }
 
     /// What is wanted.
@@ -232,8 +235,8 @@
     }
 
     /// What is seen of an instance.
-    pub fn seen(&self, name: &str) -> Option<&Seen> {
-        self.seen.get(name)
+    pub fn observed(&self, name: &str) -> Option<&ObservedInstance> {
+        self.observed.get(name)
     }
 
     /// Takes one event and appends the actions that it calls for.
@@ -241,7 +244,7 @@
         let begun = actions.len();
         match event {
             Event::Tick => {
-                let names: Vec<String> = self.seen.keys().cloned().collect();
+                let names: Vec<String> = self.observed.keys().cloned().collect();
                 names.iter().for_each(|name| self.step(now, name, actions));
                 self.advance(now);
                 // What the rollout has just wanted is begun at once.
@@ -249,39 +252,48 @@
                 changed.iter().for_each(|name| self.step(now, name, actions));
                 self.settle();
             }
-            Event::Boxes(boxes) => self.boxes = boxes,
+            Event::BoxesUpdated(boxes) => self.boxes = boxes,
             Event::Running { name, pid, incarnation } => {
                 // One that the plan does not know, or no longer, is seen too, so that it is ended.
-                let s = self.seen.entry(name).or_default();
-                let (crashes, retry_at, trouble) = (s.crashes, s.retry_at, s.trouble.take());
+                let s = self.observed.entry(name).or_default();
+                let (consecutive_crashes, retry_at, last_error) =
+                    (s.consecutive_crashes, s.retry_at, s.last_error.take());
                 let (process, adopted) = (Some((pid, incarnation)), !s.starting);
-                *s = Seen { process, adopted, since: now, crashes, retry_at, trouble, ..Seen::default() };
+                *s = ObservedInstance {
+                    process,
+                    adopted,
+                    since: now,
+                    consecutive_crashes,
+                    retry_at,
+                    last_error,
+                    ..ObservedInstance::default()
+                };
             }
             Event::StartFailed { name, reason } => self.crashed(now, &name, reason),
             Event::Exited { name, reason } => self.exited(now, &name, reason, actions),
             Event::Reported { name, report } => {
-                if let Some(s) = self.seen.get_mut(&name).filter(|s| s.process.is_some()) {
+                if let Some(s) = self.observed.get_mut(&name).filter(|s| s.process.is_some()) {
                     let up = report.ready && !report.drained;
                     s.ready_since = if up { s.ready_since.or(Some(now)) } else { None };
-                    (s.contact, s.report) = (true, Some(report));
+                    (s.connected, s.report) = (true, Some(report));
                     self.step(now, &name, actions);
                 }
             }
-            Event::Silent { name } => {
-                if let Some(s) = self.seen.get_mut(&name) {
+            Event::ContactLost { name } => {
+                if let Some(s) = self.observed.get_mut(&name) {
                     // What was asked may have been done: what is heard next will say.
-                    (s.contact, s.sent, s.ready_since) = (false, None, None);
+                    (s.connected, s.sent, s.ready_since) = (false, None, None);
                 }
             }
-            Event::Answered { name, answer } => {
-                if let Some(s) = self.seen.get_mut(&name) {
-                    match (s.sent.take(), answer) {
-                        (Some(Request::Reconfigure { generation }), Answer::NeedsRestart) => {
+            Event::Responded { name, response } => {
+                if let Some(s) = self.observed.get_mut(&name) {
+                    match (s.sent.take(), response) {
+                        (Some(Request::Reconfigure { generation }), Response::RestartRequired) => {
                             s.needs_restart = Some(generation);
                             self.step(now, &name, actions);
                         }
                         // Asked again only when it reports anew: an endless refusal must not spin.
-                        (_, Answer::Refused(why)) => s.trouble = Some(why),
+                        (_, Response::Rejected(why)) => s.last_error = Some(why),
                         _ => {}
                     }
                 }
@@ -295,24 +307,26 @@
         if !self.dirty.is_empty() {
             let keys = std::mem::take(&mut self.dirty);
             let records = keys.into_iter().map(|key| self.plan.record(key)).collect();
-            actions.insert(at, Action::Journal(records));
+            actions.insert(at, Action::WriteJournal(records));
         }
     }
 
-    fn touch(&mut self, key: Key) {
+    fn touch(&mut self, key: RecordKey) {
         self.dirty.insert(key);
     }
 
     fn changed_instances(&self) -> Vec<String> {
         let names =
-            self.dirty.iter().filter_map(|k| if let Key::Instance(n) = k { Some(n.clone()) } else { None });
+            self.dirty
+                .iter()
+                .filter_map(|k| if let RecordKey::Instance(n) = k { Some(n.clone()) } else { None });
         names.collect()
     }
 
     // ---- one instance ----
 
     fn exited(&mut self, now: Millis, name: &str, reason: String, actions: &mut Vec<Action>) {
-        let Some(s) = self.seen.get_mut(name) else { return };
+        let Some(s) = self.observed.get_mut(name) else { return };
         // Danger: the agent before this one may have told it to end. A process that is not as it is wanted, and
         // was found, has not crashed.
         let as_wanted = self.plan.instances.get(name).is_some_and(|i| {
@@ -320,8 +334,9 @@
             i.running && same && s.report.as_ref().is_some_and(|r| r.generation == i.generation)
         });
         let wanted = s.ending.is_some() || (s.adopted && !as_wanted);
-        let (crashes, retry_at, trouble) = (s.crashes, s.retry_at, s.trouble.take());
-        *s = Seen { crashes, retry_at, trouble, ..Seen::default() };
+        let (consecutive_crashes, retry_at, last_error) =
+            (s.consecutive_crashes, s.retry_at, s.last_error.take());
+        *s = ObservedInstance { consecutive_crashes, retry_at, last_error, ..ObservedInstance::default() };
         if wanted {
             self.step(now, name, actions);
         } else {
@@ -330,19 +345,25 @@
     }
 
     fn crashed(&mut self, now: Millis, name: &str, reason: String) {
-        let Some(s) = self.seen.get_mut(name) else { return };
-        let pause = (BACKOFF[0] << s.crashes.min(10)).min(BACKOFF[1]);
+        let Some(s) = self.observed.get_mut(name) else { return };
+        let pause = (BACKOFF[0] << s.consecutive_crashes.min(10)).min(BACKOFF[1]);
         // A quarter either way, so that instances that died as one do not start as one.
-        let spread =
-            name.bytes().fold(u64::from(s.crashes), |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
+        let spread = name
+            .bytes()
+            .fold(u64::from(s.consecutive_crashes), |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let retry_at = now + pause * (75 + spread % 51) / 100;
-        let crashes = s.crashes + 1;
-        *s = Seen { crashes, retry_at, trouble: Some(reason), ..Seen::default() };
+        let consecutive_crashes = s.consecutive_crashes + 1;
+        *s = ObservedInstance {
+            consecutive_crashes,
+            retry_at,
+            last_error: Some(reason),
+            ..ObservedInstance::default()
+        };
     }
 
     /// The next step of an instance from what is seen to what is wanted.
     fn step(&mut self, now: Millis, name: &str, actions: &mut Vec<Action>) {
-        let Some(s) = self.seen.get_mut(name) else { return };
+        let Some(s) = self.observed.get_mut(name) else { return };
         let intent = self.plan.instances.get(name);
         let policy = &self.plan.policy;
         let wanted = intent.is_some_and(|i| i.running);
@@ -360,7 +381,7 @@
                 }
                 // Its last process is gone, and so is it.
                 None => {
-                    self.seen.remove(name);
+                    self.observed.remove(name);
                 }
                 _ => {}
             }
@@ -380,23 +401,25 @@
         };
         let old = incarnation != intent.incarnation || s.needs_restart == Some(intent.generation);
         // One that neither speaks nor becomes ready is no use: it starts anew.
-        let late =
-            s.ready_since.is_none() && !intent.drained && !s.contact && now >= s.since + policy.ready_within;
+        let late = s.ready_since.is_none()
+            && !intent.drained
+            && !s.connected
+            && now >= s.since + policy.ready_within;
         let hung = late && s.report.is_none();
         if old || hung {
             s.ending = Some(now);
             if hung {
-                s.trouble = Some(format!("said nothing within {} ms of its start", policy.ready_within));
-                s.crashes += 1;
-                s.retry_at = now + (BACKOFF[0] << s.crashes.min(10)).min(BACKOFF[1]);
+                s.last_error = Some(format!("said nothing within {} ms of its start", policy.ready_within));
+                s.consecutive_crashes += 1;
+                s.retry_at = now + (BACKOFF[0] << s.consecutive_crashes.min(10)).min(BACKOFF[1]);
             }
             actions.push(Action::Terminate(name.to_owned()));
             return;
         }
         if s.ready_since.is_some_and(|at| now >= at + FORGIVEN) {
-            s.crashes = 0;
+            s.consecutive_crashes = 0;
         }
-        let Some(report) = s.report.as_ref().filter(|_| s.contact && s.sent.is_none()) else { return };
+        let Some(report) = s.report.as_ref().filter(|_| s.connected && s.sent.is_none()) else { return };
         let request = if report.revision < self.plan.revision {
             Request::SetDrained { revision: self.plan.revision }
         } else if report.generation != intent.generation {
@@ -411,13 +434,15 @@
             return;
         };
         s.sent = Some(request.clone());
-        actions.push(Action::Send { name: name.to_owned(), request });
+        actions.push(Action::SendRequest { name: name.to_owned(), request });
     }
 
     /// It runs as it is wanted, and speaks.
     fn converged(&self, name: &str) -> bool {
-        let (Some(s), Some(i)) = (self.seen.get(name), self.plan.instances.get(name)) else { return false };
-        let Some(report) = s.report.as_ref().filter(|_| s.contact && s.ending.is_none()) else {
+        let (Some(s), Some(i)) = (self.observed.get(name), self.plan.instances.get(name)) else {
+            return false;
+        };
+        let Some(report) = s.report.as_ref().filter(|_| s.connected && s.ending.is_none()) else {
             return !i.running && s.process.is_none();
         };
         i.running
@@ -429,9 +454,9 @@
     }
 
     /// It serves, as far as is known.
-    pub fn available(&self, name: &str) -> bool {
-        self.seen.get(name).is_some_and(|s| {
-            s.ending.is_none() && s.contact && s.report.as_ref().is_some_and(|r| r.ready && !r.drained)
+    pub fn is_available(&self, name: &str) -> bool {
+        self.observed.get(name).is_some_and(|s| {
+            s.ending.is_none() && s.connected && s.report.as_ref().is_some_and(|r| r.ready && !r.drained)
         })
     }
 
@@ -460,20 +485,20 @@
         if base != self.plan.generation {
             return Err(Rejection::Conflict { base, generation: self.plan.generation });
         }
-        self.check(&command, force)?;
+        self.validate(&command, force)?;
         let begun = actions.len();
         self.plan.generation += 1;
         let operation =
             Operation { id: id.to_owned(), generation: self.plan.generation, command, settled: None };
         self.apply(&operation);
         self.plan.operations.push_back(operation);
-        if self.plan.operations.len() > plan::OPERATIONS {
+        if self.plan.operations.len() > plan::MAX_OPERATIONS {
             self.plan.operations.pop_front();
         }
-        self.touch(Key::Fleet);
-        self.touch(Key::Operations);
+        self.touch(RecordKey::Fleet);
+        self.touch(RecordKey::Operations);
         self.advance(now);
-        let names: Vec<String> = self.seen.keys().cloned().collect();
+        let names: Vec<String> = self.observed.keys().cloned().collect();
         names.iter().for_each(|name| self.step(now, name, actions));
         self.write_journal(begun, actions);
         Ok(self.plan.generation)
@@ -483,19 +508,20 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn check(&self, command: &Command, force: bool) -> Result<(), Rejection> {
+    pub fn validate(&self, command: &Command, force: bool) -> Result<(), Rejection> {
         let known = |names: &Vec<String>| {
             let unknown = names.iter().find(|n| !self.plan.instances.contains_key(*n));
             unknown.map_or(Ok(()), |n| Err(Rejection::Invalid(format!("there is no instance {n}"))))
         };
         match command {
             Command::Apply { instances, policy } => {
-                policy.check()?;
-                if instances.len() > plan::INSTANCES {
-                    let reason = format!("{} instances; {} are the most", instances.len(), plan::INSTANCES);
+                policy.validate()?;
+                if instances.len() > plan::MAX_INSTANCES {
+                    let reason =
+                        format!("{} instances; {} are the most", instances.len(), plan::MAX_INSTANCES);
                     return Err(Rejection::Invalid(reason));
                 }
-                if let Some(bad) = instances.keys().find(|n| !plan::is_name(n)) {
+                if let Some(bad) = instances.keys().find(|n| !plan::is_valid_name(n)) {
                     let reason = format!("{bad:?} is no name: 1 to 64 of a-z A-Z 0-9 - _ ., not first .");
                     return Err(Rejection::Invalid(reason));
                 }
@@ -504,9 +530,13 @@
             Command::Up(names) | Command::Undrain(names) => known(names),
             Command::Down(names) | Command::Drain(names) => {
                 known(names)?;
-                let left =
-                    self.plan.instances.keys().filter(|n| self.available(n) && !names.contains(*n)).count();
-                let hit = names.iter().filter(|n| self.available(n)).count();
+                let left = self
+                    .plan
+                    .instances
+                    .keys()
+                    .filter(|n| self.is_available(n) && !names.contains(*n))
+                    .count();
+                let hit = names.iter().filter(|n| self.is_available(n)).count();
                 if hit > 0 && left == 0 && !force {
                     let reason = "no instance would be left that serves".to_owned();
                     return Err(Rejection::Unsafe(reason));
@@ -542,7 +572,7 @@
                 self.no_rollout()
             }
             Command::Pause | Command::Resume | Command::Abort => match &self.plan.rollout {
-                Some(r) if r.state.open() => Ok(()),
+                Some(r) if r.state.is_active() => Ok(()),
                 _ => Err(Rejection::Invalid("no rollout is under way".into())),
             },
         }
@@ -550,7 +580,7 @@
 
     fn no_rollout(&self) -> Result<(), Rejection> {
         match &self.plan.rollout {
-            Some(r) if r.state.open() => {
+            Some(r) if r.state.is_active() => {
                 Err(Rejection::Invalid(format!("rollout {} is under way; wait for it or abort it", r.id)))
             }
             _ => Ok(()),
@@ -586,75 +616,75 @@
         for name in names {
             if let Some(intent) = self.plan.instances.get_mut(name) {
                 change(intent);
-                self.touch(Key::Instance(name.clone()));
+                self.touch(RecordKey::Instance(name.clone()));
             }
         }
     }
 
     /// How an operation stands now; nothing for one that is not known, or long over.
-    pub fn state(&self, id: &str) -> Option<State> {
+    pub fn operation_status(&self, id: &str) -> Option<OperationStatus> {
         let operation = self.plan.operations.iter().find(|o| o.id == id)?;
         Some(self.standing(operation))
     }
 
-    fn standing(&self, operation: &Operation) -> State {
+    fn standing(&self, operation: &Operation) -> OperationStatus {
         let names: Vec<&String> = match &operation.command {
             Command::Up(n) | Command::Down(n) | Command::Drain(n) | Command::Undrain(n) => n.iter().collect(),
             _ => self.plan.instances.keys().collect(),
         };
         let mut detail = String::new();
-        let instances: BTreeMap<String, Standing> =
+        let instances: BTreeMap<String, Outcome> =
             names.into_iter().map(|n| (n.clone(), self.standing_at(operation, n))).collect();
         let mut outcome = worst(instances.values().copied());
         let rolls = matches!(operation.command, Command::Restart(_) | Command::Apply { .. });
         if let Some(r) = self.plan.rollout.as_ref().filter(|r| rolls && r.id == operation.id) {
-            detail = r.describe();
+            detail = r.summary();
             outcome = match &r.state {
-                RolloutState::Done => outcome.min_with(Standing::Applied),
-                RolloutState::Aborted | RolloutState::RollingBack => Standing::Failed,
-                RolloutState::Running | RolloutState::Paused(_) => Standing::Pending,
+                RolloutState::Done => outcome.min_with(Outcome::Applied),
+                RolloutState::Aborted | RolloutState::RollingBack => Outcome::Failed,
+                RolloutState::Running | RolloutState::Paused(_) => Outcome::Pending,
             };
         }
         if let Some(settled) = operation.settled {
             outcome = settled;
         }
-        State { outcome, instances, detail }
+        OperationStatus { outcome, instances, detail }
     }
 
-    fn standing_at(&self, operation: &Operation, name: &str) -> Standing {
-        let (Some(s), Some(intent)) = (self.seen.get(name), self.plan.instances.get(name)) else {
-            return Standing::Applied;
+    fn standing_at(&self, operation: &Operation, name: &str) -> Outcome {
+        let (Some(s), Some(intent)) = (self.observed.get(name), self.plan.instances.get(name)) else {
+            return Outcome::Applied;
         };
-        let report = s.report.as_ref().filter(|_| s.contact);
+        let report = s.report.as_ref().filter(|_| s.connected);
         let down = s.process.is_none() && !s.starting;
         let holds = |holds: bool| match (report, down) {
-            (Some(_), _) if holds => Standing::Applied,
-            (None, false) => Standing::Unknown,
-            _ => Standing::Pending,
+            (Some(_), _) if holds => Outcome::Applied,
+            (None, false) => Outcome::Unknown,
+            _ => Outcome::Pending,
         };
         match &operation.command {
-            Command::Drain(_) if !intent.drained => Standing::Superseded,
-            Command::Undrain(_) if intent.drained => Standing::Superseded,
-            Command::Up(_) if !intent.running => Standing::Superseded,
-            Command::Down(_) if intent.running => Standing::Superseded,
-            Command::DrainBoxes(_) | Command::UndrainBoxes(_) if down => Standing::Down,
+            Command::Drain(_) if !intent.drained => Outcome::Superseded,
+            Command::Undrain(_) if intent.drained => Outcome::Superseded,
+            Command::Up(_) if !intent.running => Outcome::Superseded,
+            Command::Down(_) if intent.running => Outcome::Superseded,
+            Command::DrainBoxes(_) | Command::UndrainBoxes(_) if down => Outcome::Down,
             Command::DrainBoxes(_) | Command::UndrainBoxes(_) => {
                 holds(report.is_some_and(|r| r.revision >= self.plan.revision))
             }
-            Command::Drain(_) if down => Standing::Down,
+            Command::Drain(_) if down => Outcome::Down,
             Command::Drain(_) => holds(report.is_some_and(|r| r.drained)),
-            Command::Undrain(_) if down && !intent.running => Standing::Down,
+            Command::Undrain(_) if down && !intent.running => Outcome::Down,
             Command::Undrain(_) => holds(report.is_some_and(|r| !r.drained)),
-            Command::Down(_) if down => Standing::Applied,
-            Command::Down(_) => Standing::Pending,
-            Command::Pause | Command::Resume | Command::Abort => Standing::Applied,
+            Command::Down(_) if down => Outcome::Applied,
+            Command::Down(_) => Outcome::Pending,
+            Command::Pause | Command::Resume | Command::Abort => Outcome::Applied,
             Command::Up(_) | Command::Restart(_) | Command::Apply { .. } => {
                 if self.converged(name) {
-                    Standing::Applied
+                    Outcome::Applied
                 } else if report.is_none() && !down && s.ending.is_none() && s.report.is_some() {
-                    Standing::Unknown
+                    Outcome::Unknown
                 } else {
-                    Standing::Pending
+                    Outcome::Pending
                 }
             }
         }
@@ -668,31 +698,31 @@
                 continue;
             }
             let outcome = self.standing(operation).outcome;
-            if !matches!(outcome, Standing::Pending | Standing::Unknown) {
+            if !matches!(outcome, Outcome::Pending | Outcome::Unknown) {
                 self.plan.operations[i].settled = Some(outcome);
-                self.touch(Key::Operations);
+                self.touch(RecordKey::Operations);
             }
         }
     }
 }
 
-impl Standing {
-    fn min_with(self, other: Standing) -> Standing {
+impl Outcome {
+    fn min_with(self, other: Outcome) -> Outcome {
         worst([self, other].into_iter())
     }
 }
 
-fn worst(all: impl Iterator<Item = Standing>) -> Standing {
-    let rank = |s: &Standing| match s {
-        Standing::Failed => 5,
-        Standing::Unknown => 4,
-        Standing::Pending => 3,
-        Standing::Superseded => 2,
-        Standing::Applied | Standing::Down => 1,
+fn worst(all: impl Iterator<Item = Outcome>) -> Outcome {
+    let rank = |s: &Outcome| match s {
+        Outcome::Failed => 5,
+        Outcome::Unknown => 4,
+        Outcome::Pending => 3,
+        Outcome::Superseded => 2,
+        Outcome::Applied | Outcome::Down => 1,
     };
-    let worst = all.max_by_key(rank).unwrap_or(Standing::Applied);
-    if worst == Standing::Down {
-        Standing::Applied
+    let worst = all.max_by_key(rank).unwrap_or(Outcome::Applied);
+    if worst == Outcome::Down {
+        Outcome::Applied
     } else {
         worst
     }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,15 +1,15 @@
 //! What operators want of a fleet, as it is kept in the journal.
 
-use crate::Standing;
+use crate::Outcome;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
 /// Operations that are remembered.
-pub const OPERATIONS: usize = 256;
+pub const MAX_OPERATIONS: usize = 256;
 /// Instances of one agent.
-pub const INSTANCES: usize = 4_096;
+pub const MAX_INSTANCES: usize = 4_096;
 
 /// What an instance is to be.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 impl Policy {
     /// # Errors
     /// A value makes no rollout possible.
-    pub fn check(&self) -> Result<(), Rejection> {
+    pub fn validate(&self) -> Result<(), Rejection> {
         let counts = [
             ("batch", self.batch),
             ("max_unavailable", self.max_unavailable),
@@ -85,7 +85,7 @@
 /// An instance as a fleet's file has it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wanted {
+pub struct DesiredInstance {
     /// Its zone.
     pub zone: String,
     /// The generation of its configuration; the host numbers them, the same text under the same number.
@@ -99,7 +99,7 @@
     /// The whole fleet: instances that are not named end, new ones start, others roll to their configuration.
     Apply {
         /// All instances.
-        instances: BTreeMap<String, Wanted>,
+        instances: BTreeMap<String, DesiredInstance>,
         /// Bounds.
         policy: Policy,
     },
@@ -165,7 +165,7 @@
     /// What was asked for.
     pub command: Command,
     /// How it ended, once it has.
-    pub settled: Option<Standing>,
+    pub settled: Option<Outcome>,
 }
 
 /// How a rollout stands.
@@ -186,7 +186,7 @@
 
 impl RolloutState {
     /// It is under way.
-    pub fn open(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         !matches!(self, RolloutState::Done | RolloutState::Aborted)
     }
 }
@@ -212,7 +212,7 @@
 
 impl Rollout {
     /// How it stands, for people.
-    pub fn describe(&self) -> String {
+    pub fn summary(&self) -> String {
         let (done, all) = (self.done.len(), self.targets.len());
         let state = match &self.state {
             RolloutState::Running => "running".to_owned(),
@@ -249,7 +249,7 @@
 /// A part of the plan that changes as one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Key {
+pub enum RecordKey {
     /// Generation, drained boxes, policy.
     Fleet,
     /// An instance.
@@ -264,27 +264,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Which part.
-    pub key: Key,
+    pub key: RecordKey,
     /// As it is now.
     pub value: Value,
 }
 
 impl Plan {
     /// A part as it is now.
-    pub fn record(&self, key: Key) -> Record {
+    pub fn record(&self, key: RecordKey) -> Record {
         let value = match &key {
-            Key::Fleet => json!([self.generation, self.revision, self.drained_boxes, self.policy]),
-            Key::Instance(name) => json!(self.instances.get(name)),
-            Key::Rollout => json!(self.rollout),
-            Key::Operations => json!(self.operations),
+            RecordKey::Fleet => json!([self.generation, self.revision, self.drained_boxes, self.policy]),
+            RecordKey::Instance(name) => json!(self.instances.get(name)),
+            RecordKey::Rollout => json!(self.rollout),
+            RecordKey::Operations => json!(self.operations),
         };
         Record { key, value }
     }
 
     /// All parts.
     pub fn records(&self) -> Vec<Record> {
-        let fixed = [Key::Fleet, Key::Rollout, Key::Operations];
-        let instances = self.instances.keys().cloned().map(Key::Instance);
+        let fixed = [RecordKey::Fleet, RecordKey::Rollout, RecordKey::Operations];
+        let instances = self.instances.keys().cloned().map(RecordKey::Instance);
         fixed.into_iter().chain(instances).map(|key| self.record(key)).collect()
     }
 
@@ -292,14 +292,14 @@
     ///
     /// # Errors
     /// It is no part of a plan.
-    pub fn take(&mut self, record: Record) -> Result<(), serde_json::Error> {
+    pub fn apply_record(&mut self, record: Record) -> Result<(), serde_json::Error> {
         let value = record.value;
         match record.key {
-            Key::Fleet => {
+            RecordKey::Fleet => {
                 (self.generation, self.revision, self.drained_boxes, self.policy) =
                     serde_json::from_value(value)?;
             }
-            Key::Instance(name) => match serde_json::from_value(value)? {
+            RecordKey::Instance(name) => match serde_json::from_value(value)? {
                 Some(intent) => {
                     self.instances.insert(name, intent);
                 }
@@ -307,15 +307,15 @@
                     self.instances.remove(&name);
                 }
             },
-            Key::Rollout => self.rollout = serde_json::from_value(value)?,
-            Key::Operations => self.operations = serde_json::from_value(value)?,
+            RecordKey::Rollout => self.rollout = serde_json::from_value(value)?,
+            RecordKey::Operations => self.operations = serde_json::from_value(value)?,
         }
         Ok(())
     }
 }
 
 /// May an instance be called so? It stands in paths.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     !name.is_empty() && name.len() <= 64 && !name.starts_with('.') && name.chars().all(plain)
 }
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -1,17 +1,21 @@
 //! Changes that go through the fleet batch by batch, within the policy's bounds.
 
-use crate::plan::{Intent, Key, Operation, Rollout, RolloutState, Wanted};
-use crate::{Fleet, Millis, Seen};
+use crate::plan::{DesiredInstance, Intent, Operation, RecordKey, Rollout, RolloutState};
+use crate::{Fleet, Millis, ObservedInstance};
 use std::collections::BTreeMap;
 
 impl Fleet {
     /// Takes over a fleet's file: ends and starts what comes and goes, and begins to roll the rest.
-    pub(crate) fn apply_instances(&mut self, operation: &Operation, wanted: &BTreeMap<String, Wanted>) {
+    pub(crate) fn apply_instances(
+        &mut self,
+        operation: &Operation,
+        wanted: &BTreeMap<String, DesiredInstance>,
+    ) {
         let gone: Vec<String> =
             self.plan.instances.keys().filter(|n| !wanted.contains_key(*n)).cloned().collect();
         for name in gone {
             self.plan.instances.remove(&name);
-            self.touch(Key::Instance(name));
+            self.touch(RecordKey::Instance(name));
         }
         let mut targets = Vec::new();
         for (name, w) in wanted {
@@ -23,15 +27,15 @@
                     ..Intent::default()
                 };
                 self.plan.instances.insert(name.clone(), intent);
-                self.seen.entry(name.clone()).or_default();
-                self.touch(Key::Instance(name.clone()));
+                self.observed.entry(name.clone()).or_default();
+                self.touch(RecordKey::Instance(name.clone()));
                 continue;
             };
             intent.zone.clone_from(&w.zone);
             if intent.generation != w.generation {
                 targets.push((name.clone(), (w.generation, intent.incarnation)));
             }
-            self.touch(Key::Instance(name.clone()));
+            self.touch(RecordKey::Instance(name.clone()));
         }
         if !targets.is_empty() {
             self.begin(operation, targets);
@@ -55,13 +59,13 @@
             done: Default::default(),
             failed: Default::default(),
         });
-        self.touch(Key::Rollout);
+        self.touch(RecordKey::Rollout);
     }
 
     pub(crate) fn rollout_state(&mut self, state: RolloutState) {
         if let Some(rollout) = &mut self.plan.rollout {
             rollout.state = state;
-            self.touch(Key::Rollout);
+            self.touch(RecordKey::Rollout);
         }
     }
 
@@ -71,7 +75,7 @@
             rollout.current.extend(std::mem::take(&mut rollout.failed));
             // A rollback that was paused goes on back.
             rollout.state = RolloutState::Running;
-            self.touch(Key::Rollout);
+            self.touch(RecordKey::Rollout);
         }
     }
 
@@ -85,32 +89,32 @@
             let Some(intent) = self.plan.instances.get_mut(&name) else { continue };
             if intent.generation != generation {
                 intent.generation = generation;
-                self.touch(Key::Instance(name));
+                self.touch(RecordKey::Instance(name));
             }
         }
-        self.touch(Key::Rollout);
+        self.touch(RecordKey::Rollout);
     }
 
     /// An instance has failed its change: it crashed since it was begun, or is not ready in time.
     fn has_failed(&self, now: Millis, name: &str) -> bool {
-        let Some(s) = self.seen.get(name) else { return false };
+        let Some(s) = self.observed.get(name) else { return false };
         let policy = &self.plan.policy;
         let bound = policy.stop_within + policy.ready_within;
-        let hung = |s: &Seen| {
+        let hung = |s: &ObservedInstance| {
             s.process.is_some() && !self.converged(name) && now >= s.since.max(s.ending.unwrap_or(0)) + bound
         };
-        s.crashes > 0 || hung(s)
+        s.consecutive_crashes > 0 || hung(s)
     }
 
     /// Moves the rollout on as far as the policy allows.
     pub(crate) fn advance(&mut self, now: Millis) {
-        let Some(mut rollout) = self.plan.rollout.take_if(|r| r.state.open()) else { return };
+        let Some(mut rollout) = self.plan.rollout.take_if(|r| r.state.is_active()) else { return };
         let before = rollout.clone();
         let names: Vec<String> = rollout.current.iter().cloned().collect();
         for name in names {
             let wanted = self.plan.instances.get(&name).is_some_and(|i| i.running);
             let drained = self.plan.instances.get(&name).is_some_and(|i| i.drained);
-            let since = self.seen.get(&name).and_then(|s| s.ready_since);
+            let since = self.observed.get(&name).and_then(|s| s.ready_since);
             let steady = drained || since.is_some_and(|at| now >= at + self.plan.policy.healthy_for);
             if !wanted || (self.converged(&name) && steady) {
                 rollout.current.remove(&name);
@@ -122,8 +126,8 @@
         }
         if rollout.state == RolloutState::Running && rollout.failed.len() > self.plan.policy.max_failures {
             let why = rollout.failed.iter().next().map(|name| {
-                let trouble = self.seen.get(name).and_then(|s| s.trouble.clone());
-                format!("{name}: {}", trouble.unwrap_or_else(|| "not ready in time".into()))
+                let last_error = self.observed.get(name).and_then(|s| s.last_error.clone());
+                format!("{name}: {}", last_error.unwrap_or_else(|| "not ready in time".into()))
             });
             rollout.state = RolloutState::Paused(why.unwrap_or_default());
         }
@@ -141,7 +145,7 @@
         let changed = rollout != before;
         self.plan.rollout = Some(rollout);
         if changed {
-            self.touch(Key::Rollout);
+            self.touch(RecordKey::Rollout);
         }
     }
 
@@ -159,7 +163,7 @@
                 continue;
             };
             // Danger: what is begun in this turn still looks available.
-            let out = |n: &String| *n == name || rollout.current.contains(n) || !self.available(n);
+            let out = |n: &String| *n == name || rollout.current.contains(n) || !self.is_available(n);
             let serving = self.plan.instances.iter().filter(|(_, i)| i.running && !i.drained);
             let unavailable: Vec<&Intent> = serving.filter(|(n, _)| out(n)).map(|(_, i)| i).collect();
             let in_zone = unavailable.iter().filter(|i| i.zone == intent.zone).count();
@@ -173,10 +177,10 @@
                 (intent.generation, intent.incarnation) = target;
             }
             // What it did before is not the rollout's doing.
-            if let Some(s) = self.seen.get_mut(&name) {
-                s.crashes = 0;
+            if let Some(s) = self.observed.get_mut(&name) {
+                s.consecutive_crashes = 0;
             }
-            self.touch(Key::Instance(name));
+            self.touch(RecordKey::Instance(name));
         }
     }
 }
--- a/crates/fleet/tests/histories.rs
+++ b/crates/fleet/tests/histories.rs
@@ -1,10 +1,10 @@
 //! Random histories of a fleet on a simulated machine: crashes, hangs, lost contact, lost answers, and an agent
 //! that dies between any two of its actions and goes on from its journal. A failure names the seed.
 
-use fleet::plan::Wanted;
+use fleet::plan::DesiredInstance;
 use fleet::{
-    Action, Answer, Command, Event, Fleet, Millis, Plan, Policy, Rejection, Report, Request, RolloutState,
-    Standing,
+    Action, Command, Event, Fleet, Millis, Outcome, Plan, Policy, Rejection, Report, Request, Response,
+    RolloutState,
 };
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
     restart: bool,
     bad: Option<u64>,
     /// Answers that are on their way.
-    answers: Vec<(Millis, String, Answer)>,
+    answers: Vec<(Millis, String, Response)>,
     starts: usize,
     /// The agent dies after so many more actions.
     dies_in: Option<usize>,
@@ -46,9 +46,13 @@
     (0..n).map(|i| format!("n{i:04}")).collect()
 }
 
-fn wanted(n: usize, generation: u64) -> BTreeMap<String, Wanted> {
+fn wanted(n: usize, generation: u64) -> BTreeMap<String, DesiredInstance> {
     let zone = |i: usize| ["a", "b", "c"][i % 3].to_owned();
-    names(n).into_iter().enumerate().map(|(i, name)| (name, Wanted { zone: zone(i), generation })).collect()
+    names(n)
+        .into_iter()
+        .enumerate()
+        .map(|(i, name)| (name, DesiredInstance { zone: zone(i), generation }))
+        .collect()
 }
 
 fn policy() -> Policy {
@@ -109,7 +113,7 @@
                 }
                 *left -= 1;
             }
-            if let Action::Journal(_) = action {
+            if let Action::WriteJournal(_) = action {
                 assert!(!journaled, "one journal write a step");
                 journaled = true;
             }
@@ -124,11 +128,11 @@
         let mut plan = Plan::default();
         for record in self.disk.records() {
             let text = serde_json::to_string(&record).expect("JSON");
-            plan.take(serde_json::from_str(&text).expect("JSON")).expect("a plan");
+            plan.apply_record(serde_json::from_str(&text).expect("JSON")).expect("a plan");
         }
         assert_eq!(plan, self.disk);
         self.fleet = Fleet::new(plan);
-        self.event(Event::Boxes(self.boxes.clone()));
+        self.event(Event::BoxesUpdated(self.boxes.clone()));
         for (name, p) in self.processes.clone() {
             self.event(Event::Running { name, pid: p.pid, incarnation: p.incarnation });
         }
@@ -136,8 +140,8 @@
 
     fn one(&mut self, action: Action) {
         match action {
-            Action::Journal(records) => {
-                records.into_iter().for_each(|r| self.disk.take(r).expect("a record"));
+            Action::WriteJournal(records) => {
+                records.into_iter().for_each(|r| self.disk.apply_record(r).expect("a record"));
                 assert_eq!(&self.disk, self.fleet.plan(), "the journal has all of the plan");
             }
             Action::Start { name, generation, incarnation, revision, drained } => {
@@ -168,26 +172,26 @@
             Action::Kill(name) => {
                 self.processes.get_mut(&name).expect("a process").ends_at = Some(self.now);
             }
-            Action::Send { name, request } => {
+            Action::SendRequest { name, request } => {
                 let restart = self.restart;
                 let process = self.processes.get_mut(&name).expect("a process");
                 if process.hung || process.cut {
-                    return self.answers.push((self.now + 400, name, Answer::Refused("silent".into())));
+                    return self.answers.push((self.now + 400, name, Response::Rejected("silent".into())));
                 }
                 let answer = match request {
                     Request::SetDrained { revision } => {
                         assert!(revision >= process.report.revision, "a set of boxes goes back");
                         process.report.revision = revision;
-                        Answer::Done
+                        Response::Applied
                     }
-                    Request::Reconfigure { .. } if restart => Answer::NeedsRestart,
+                    Request::Reconfigure { .. } if restart => Response::RestartRequired,
                     Request::Reconfigure { generation } => {
                         process.report.generation = generation;
-                        Answer::Done
+                        Response::Applied
                     }
                     Request::Drain | Request::Undrain => {
                         process.report.drained = request == Request::Drain;
-                        Answer::Done
+                        Response::Applied
                     }
                 };
                 // It is done; the answer may be lost.
@@ -204,10 +208,10 @@
             if at > self.now {
                 self.answers.push((at, name, answer));
             } else if !self.processes.contains_key(&name) {
-            } else if matches!(&answer, Answer::Refused(why) if why == "silent") {
-                self.event(Event::Silent { name });
+            } else if matches!(&answer, Response::Rejected(why) if why == "silent") {
+                self.event(Event::ContactLost { name });
             } else {
-                self.event(Event::Answered { name, answer });
+                self.event(Event::Responded { name, response: answer });
             }
         }
         let ended: Vec<String> = self
@@ -222,7 +226,7 @@
         }
         for (name, mut p) in self.processes.clone() {
             if p.hung || p.cut {
-                self.event(Event::Silent { name });
+                self.event(Event::ContactLost { name });
                 continue;
             }
             p.report.ready = self.now >= p.ready_at;
@@ -249,12 +253,12 @@
     fn up(seed: u64, n: usize) -> Machine {
         let mut m = Machine::new(seed);
         m.ask("begin", Command::Apply { instances: wanted(n, 1), policy: policy() }).expect("taken");
-        m.until("all are up", |m| m.outcome("begin") == Standing::Applied);
+        m.until("all are up", |m| m.outcome("begin") == Outcome::Applied);
         m
     }
 
-    fn outcome(&self, id: &str) -> Standing {
-        self.fleet.state(id).expect("known").outcome
+    fn outcome(&self, id: &str) -> Outcome {
+        self.fleet.operation_status(id).expect("known").outcome
     }
 
     fn rollout(&self) -> &RolloutState {
@@ -332,7 +336,7 @@
         }
         m.calm();
         // Whatever the operators left unfinished, they finish.
-        if m.fleet.plan().rollout.as_ref().is_some_and(|r| r.state.open()) {
+        if m.fleet.plan().rollout.as_ref().is_some_and(|r| r.state.is_active()) {
             m.ask("last", Command::Abort).expect("taken");
         }
         m.until(&format!("seed {seed} settles"), |m| {
@@ -349,7 +353,7 @@
             };
             m.processes.keys().eq(running)
                 && plan.instances.iter().filter(|(_, i)| i.running).all(as_wanted)
-                && plan.rollout.as_ref().is_none_or(|r| !r.state.open())
+                && plan.rollout.as_ref().is_none_or(|r| !r.state.is_active())
         });
         m.turns(100);
         let open: Vec<_> = m.fleet.plan().operations.iter().filter(|o| o.settled.is_none()).collect();
@@ -366,7 +370,7 @@
     for seed in 0..60 {
         let mut m = Machine::up(seed, 12);
         m.ask("roll", Command::Restart(vec![])).expect("taken");
-        while m.rollout().open() {
+        while m.rollout().is_active() {
             // By the processes themselves: an agent that has just begun knows less.
             let serves =
                 |n: &&String| m.processes.get(*n).is_some_and(|p| p.ready_at <= m.now && p.ends_at.is_none());
@@ -380,7 +384,7 @@
             m.turn();
             assert!(m.now < 1_000_000, "seed {seed} ends");
         }
-        assert_eq!((m.outcome("roll"), m.rollout()), (Standing::Applied, &RolloutState::Done), "seed {seed}");
+        assert_eq!((m.outcome("roll"), m.rollout()), (Outcome::Applied, &RolloutState::Done), "seed {seed}");
         assert_eq!(m.starts, 24, "seed {seed}: each started once, and once anew");
     }
 }
@@ -397,7 +401,7 @@
         let _ = m.submit("roll", base, false, command.clone());
         // The operator heard nothing, and says it again.
         m.submit("roll", base, false, command).expect("taken, once");
-        m.until("done", |m| m.outcome("roll") == Standing::Applied);
+        m.until("done", |m| m.outcome("roll") == Outcome::Applied);
         assert_eq!(m.starts - before, 6, "the agent died at action {at}");
         assert!(m.processes.values().all(|p| p.report.generation == 2));
     }
@@ -409,7 +413,7 @@
     (m.restart, m.bad) = (true, Some(2));
     m.ask("roll", Command::Apply { instances: wanted(6, 2), policy: policy() }).expect("taken");
     m.until("it pauses", |m| matches!(m.rollout(), RolloutState::Paused(_)));
-    let well = m.fleet.plan().instances.keys().filter(|n| m.fleet.available(n)).count();
+    let well = m.fleet.plan().instances.keys().filter(|n| m.fleet.is_available(n)).count();
     assert!(well >= 4, "{well} serve");
     let RolloutState::Paused(why) = m.rollout() else { panic!("paused") };
     assert!(why.contains("ended by itself"), "{why}");
@@ -419,7 +423,7 @@
     m.until("it is back", |m| *m.rollout() == RolloutState::Aborted);
     assert!(m.processes.len() == 6 && m.processes.values().all(|p| p.report.generation == 1));
     m.turns(40);
-    assert_eq!(m.outcome("roll"), Standing::Failed);
+    assert_eq!(m.outcome("roll"), Outcome::Failed);
 }
 
 #[test]
@@ -429,22 +433,22 @@
     m.turns(100);
     m.ask("drain", Command::DrainBoxes(vec![])).expect("taken");
     m.turns(200);
-    let state = m.fleet.state("drain").expect("known");
-    assert_eq!((state.outcome, state.instances["n0003"]), (Standing::Unknown, Standing::Unknown));
-    assert_eq!(state.instances.values().filter(|s| **s == Standing::Applied).count(), 5);
+    let state = m.fleet.operation_status("drain").expect("known");
+    assert_eq!((state.outcome, state.instances["n0003"]), (Outcome::Unknown, Outcome::Unknown));
+    assert_eq!(state.instances.values().filter(|s| **s == Outcome::Applied).count(), 5);
     // Unknown is not done; it settles by itself.
     m.processes.get_mut("n0003").expect("runs").hung = false;
-    m.until("it settles", |m| m.outcome("drain") == Standing::Applied);
+    m.until("it settles", |m| m.outcome("drain") == Outcome::Applied);
     // A rollout replaces the one that hangs, and has no other two out meanwhile.
     m.processes.get_mut("n0003").expect("runs").hung = true;
     m.turns(100);
     m.ask("roll", Command::Restart(vec![])).expect("taken");
-    while m.rollout().open() {
-        let out = m.fleet.plan().instances.keys().filter(|n| !m.fleet.available(n)).count();
+    while m.rollout().is_active() {
+        let out = m.fleet.plan().instances.keys().filter(|n| !m.fleet.is_available(n)).count();
         assert!(out <= 2, "{out} are out");
         m.turn();
     }
-    assert_eq!(m.outcome("roll"), Standing::Applied);
+    assert_eq!(m.outcome("roll"), Outcome::Applied);
 }
 
 #[test]
@@ -453,7 +457,7 @@
     m.boxes = [("s-0", "a", true), ("s-1", "a", true), ("s-2", "b", true), ("s-3", "b", false)]
         .map(|(n, z, up)| (n.to_owned(), (z.to_owned(), up)))
         .into();
-    m.event(Event::Boxes(m.boxes.clone()));
+    m.event(Event::BoxesUpdated(m.boxes.clone()));
     let drain = |names: &[&str]| Command::DrainBoxes(names.iter().map(|n| n.to_string()).collect());
     let refused = |m: &mut Machine, command| matches!(m.ask("x", command), Err(Rejection::Unsafe(_)));
     assert!(refused(&mut m, drain(&["s-2"])), "s-3 is of its zone but not up");
@@ -481,9 +485,9 @@
     // 0.5, 1, 2, 4, 8, 16, 30, 30, 30 s and a quarter either way.
     assert!((7..=12).contains(&starts), "{starts} starts in two minutes");
     m.bad = None;
-    m.until("it runs", |m| m.fleet.available("n0000"));
+    m.until("it runs", |m| m.fleet.is_available("n0000"));
     m.turns(61_000);
-    assert_eq!(m.fleet.seen("n0000").expect("seen").crashes, 0);
+    assert_eq!(m.fleet.observed("n0000").expect("seen").consecutive_crashes, 0);
 }
 
 #[test]
@@ -514,10 +518,10 @@
             ..policy()
         };
         m.ask("begin", Command::Apply { instances: wanted(2_000, 1), policy }).expect("taken");
-        m.until("all are up", |m| m.outcome("begin") == Standing::Applied);
+        m.until("all are up", |m| m.outcome("begin") == Outcome::Applied);
         let (up, from) = (begun.elapsed(), m.now);
         m.ask("roll", Command::Restart(vec![])).expect("taken");
-        m.until("done", |m| m.outcome("roll") == Standing::Applied);
+        m.until("done", |m| m.outcome("roll") == Outcome::Applied);
         let (rolled, turns) = (begun.elapsed() - up, (m.now - from) / 20);
         let report = rolled.as_secs_f64() * 1e6 / (turns * 2_000) as f64;
         println!("seed {seed}: up in {up:?}; rolled in {rolled:?} for {} s of the machine's: {report:.2} us a report and look, the simulated machine's own work counted", (m.now - from) / 1_000);
