--- /dev/null
+++ b/crates/proxy/src/boxes/dial.rs
@@ -0,0 +1,209 @@
+//! Opening connections. The addresses of a node race as in RFC 8305 (Happy Eyeballs): a second dial starts beside the
+//! first when that fails or takes longer than the stagger delay.
+
+use super::connection::Connection;
+use super::node::Node;
+use super::socket::{Dial, Socket};
+use super::{Boxes, NewConnection, QueuedAttempt};
+use crate::event_loop::Source;
+use addresses::{AddressId, ConnectionRace};
+use calicosaddle::api::{Nanos, ServerId};
+use mio::{Registry, Token};
+use pipeline::Pipeline;
+use resp::{Protocol, ReplyReader};
+
+/// Dials the addresses of a race in order until one can be dialed.
+fn dial(
+    node: &mut Node,
+    race: &mut ConnectionRace,
+    registry: &Registry,
+    token: Token,
+    now: Nanos,
+) -> Option<Dial> {
+    while let Some(address) = race.start_next() {
+        let socket = node.addresses.address(address).map(Socket::connect);
+        if let Some(Ok(mut socket)) = socket {
+            if socket.register(registry, token).is_ok() {
+                return Some(Dial { address, socket, started_at: now });
+            }
+        }
+        node.addresses.connection_failed(address, now);
+        race.attempt_failed(address);
+    }
+    None
+}
+
+impl Boxes {
+    /// Opens a connection to a node, over the required address if there is one. Returns no key if no descriptor is
+    /// free or no address can be dialed.
+    pub(super) fn open(
+        &mut self,
+        server: ServerId,
+        required: Option<AddressId>,
+        queued: &QueuedAttempt,
+        now: Nanos,
+    ) -> (Option<usize>, Option<NewConnection>) {
+        if self.descriptors() >= self.descriptor_limit && !self.evict_idle() {
+            return (None, None);
+        }
+        let Some(node) = self.nodes.get_mut(&server) else { return (None, None) };
+        let order = match required {
+            Some(id) => vec![id],
+            None => node.addresses.connection_order(now, queued.query.write),
+        };
+        let mut race = ConnectionRace::new(order);
+        let entry = self.connections.vacant_entry();
+        let key = entry.key();
+        let token = Source::Node(key).token();
+        let Some(link) = dial(node, &mut race, &self.registry, token, now) else { return (None, None) };
+        let remaining = queued.deadline.saturating_sub(now);
+        let stagger_delay =
+            race.can_start_another().then(|| node.addresses.attempt_delay(link.address, remaining));
+        self.last_serial += 1;
+        node.connections.push(key);
+        let sends_hello = self.hello.is_some() && node.should_send_hello();
+        entry.insert(Connection {
+            link,
+            staggered: None,
+            race,
+            server,
+            serial: self.last_serial,
+            connected: false,
+            pipeline: Pipeline::default(),
+            write_buffer: Vec::new(),
+            long_value: None,
+            write_queued: false,
+            sends_hello,
+            hello_reply: None,
+            reader: ReplyReader::new(Protocol::Two),
+            reply_bytes: Vec::new(),
+            last_active: now,
+            last_read: now,
+            has_unread: false,
+            last_reply: 0,
+            ready_at: 0,
+            idle_before_write: 0,
+            streaming: false,
+            paused: false,
+            has_replied: false,
+        });
+        (Some(key), Some(NewConnection { serial: self.last_serial, stagger_delay }))
+    }
+
+    /// The stagger delay of a connection is over: dials the next address beside the first, if descriptors allow it.
+    pub fn start_staggered(&mut self, key: usize, serial: u64, now: Nanos) {
+        if self.connections.get(key).is_some_and(|c| c.serial == serial) {
+            self.dial_staggered(key, now);
+        }
+    }
+
+    /// Starts the staggered dial of a connection that is not established. Each node has one staggered dial at a time,
+    /// so that it never sees more than one connection beyond its limit.
+    fn dial_staggered(&mut self, key: usize, now: Nanos) {
+        let is_racing = |k: &usize| self.connections.get(*k).is_some_and(|c| c.staggered.is_some());
+        let connecting = self.connections.get(key).filter(|c| !c.connected);
+        let Some(node) = connecting.and_then(|c| self.nodes.get(&c.server)) else { return };
+        if self.descriptors() >= self.descriptor_limit || node.connections.iter().any(is_racing) {
+            return;
+        }
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some(node) = self.nodes.get_mut(&c.server) else { return };
+        c.staggered = dial(node, &mut c.race, &self.registry, Source::NodeRace(key).token(), now);
+        self.staggered_dials += usize::from(c.staggered.is_some());
+    }
+
+    /// A race at a node is over: starts the staggered dial of the node's next connection whose delay is over.
+    pub(super) fn dial_next_staggered(&mut self, server: ServerId, now: Nanos) {
+        let Some(node) = self.nodes.get(&server) else { return };
+        let is_due = |k: &&usize| {
+            self.connections.get(**k).is_some_and(|c| {
+                let delay = node.addresses.attempt_delay(c.link.address, Nanos::MAX);
+                !c.connected
+                    && c.staggered.is_none()
+                    && c.race.can_start_another()
+                    && now.saturating_sub(c.link.started_at) >= delay
+            })
+        };
+        if let Some(key) = node.connections.iter().find(is_due).copied() {
+            self.dial_staggered(key, now);
+        }
+    }
+
+    /// One of a connection's dials failed: the other one continues, or the next address is dialed.
+    pub(super) fn dial_failed(&mut self, key: usize, staggered: bool, now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some(node) = self.nodes.get_mut(&c.server) else { return };
+        let other = c.staggered.take();
+        self.staggered_dials -= usize::from(other.is_some());
+        let failed = if staggered { other.as_ref().map(|d| d.address) } else { Some(c.link.address) };
+        if let Some(id) = failed {
+            node.addresses.connection_failed(id, now);
+            c.race.attempt_failed(id);
+        }
+        if staggered {
+            self.dial_staggered(key, now);
+            return;
+        }
+        let token = Source::Node(key).token();
+        let other = other.and_then(|mut d| d.socket.reregister(&self.registry, token).ok().map(|()| d));
+        match other.or_else(|| dial(node, &mut c.race, &self.registry, token, now)) {
+            Some(link) => c.link = link,
+            None => {
+                self.record_refusal(key, now);
+                self.close(key);
+                return;
+            }
+        }
+        // After a failure the next dial starts at once; the stagger delay is for dials that may still succeed.
+        self.dial_staggered(key, now);
+    }
+
+    /// Handles readiness of a staggered dial's socket; returns whether it won the race and the connection is
+    /// established.
+    pub fn staggered_ready(&mut self, key: usize, now: Nanos) -> bool {
+        let Some(c) = self.connections.get_mut(key).filter(|c| !c.connected) else { return false };
+        let Some(staggered) = &c.staggered else { return false };
+        match staggered.socket.is_up() {
+            Ok(false) => return false,
+            Err(_) => {
+                self.dial_failed(key, true, now);
+                return false;
+            }
+            Ok(true) => {}
+        }
+        let Some(mut winner) = c.staggered.take() else { return false };
+        self.staggered_dials -= 1;
+        if winner.socket.reregister(&self.registry, Source::Node(key).token()).is_err() {
+            return false;
+        }
+        // The first address had more time and is not connected, so the next connection tries another one first.
+        let loser = std::mem::replace(&mut c.link, winner);
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            node.addresses.connection_failed(loser.address, now);
+        }
+        true
+    }
+
+    /// Closes a connection that was not established in time.
+    pub fn connect_timeout(&mut self, key: usize, serial: u64, now: Nanos) {
+        let connecting = self.connections.get(key).filter(|c| c.serial == serial && !c.connected);
+        let Some(c) = connecting else { return };
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            c.race.in_progress().iter().for_each(|id| node.addresses.connection_failed(*id, now));
+        }
+        self.close(key);
+    }
+
+    /// Records that a node refused a connection or ended it before any reply.
+    pub(super) fn record_refusal(&mut self, key: usize, now: Nanos) {
+        let Some(server) = self.connections.get(key).map(|c| c.server) else { return };
+        let replied = self.replied_connections(server);
+        self.nodes.get_mut(&server).into_iter().for_each(|n| n.capacity.record_refused(replied, now));
+    }
+
+    /// Number of connections to a node that have carried a reply.
+    pub(super) fn replied_connections(&self, server: ServerId) -> usize {
+        let keys = self.nodes.get(&server).map_or(&[][..], |n| &n.connections);
+        keys.iter().filter(|k| self.connections.get(**k).is_some_and(|c| c.has_replied)).count()
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/boxes/read.rs
@@ -0,0 +1,235 @@
+//! Reading from cache nodes: replies, long values in parts, pushes and the answer to `HELLO`.
+
+use super::connection::Connection;
+use super::{Boxes, NodeEvent};
+use calicosaddle::api::{Nanos, RequestId, Status};
+use resp::{Protocol, Reply, ReplyKind, ReplyPart, ReplyReader, ServerMessage};
+use std::io::{self, Read};
+
+/// Reads from one connection before other sockets have their turn.
+const MAX_READS_PER_TURN: usize = 4;
+
+impl Boxes {
+    /// Whether some connection may have unread input that causes no further readiness event.
+    pub fn has_unread_input(&self) -> bool {
+        !self.unread.is_empty()
+    }
+
+    /// Takes the keys of the connections that may have unread input.
+    pub fn take_unread(&mut self) -> Vec<usize> {
+        std::mem::take(&mut self.unread)
+    }
+
+    /// Handles readiness of a connection's socket: connects, writes and reads, up to a bound. `closed` states that the
+    /// other end is known to have closed or failed.
+    pub fn ready(&mut self, key: usize, closed: bool, buffer: &mut [u8], now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        if !c.connected {
+            match c.link.socket.is_up() {
+                Ok(true) => self.record_connected(key, now),
+                Ok(false) => return,
+                Err(_) => {
+                    self.dial_failed(key, false, now);
+                    return;
+                }
+            }
+        }
+        self.flush(key, now);
+        self.read(key, closed, buffer, now);
+        self.take_over_waiting(key, now);
+    }
+
+    /// A connection is established: ends its race.
+    fn record_connected(&mut self, key: usize, now: Nanos) {
+        let Some(c) = self.connections.get_mut(key) else { return };
+        c.connected = true;
+        c.race.attempt_succeeded(c.link.address);
+        self.staggered_dials -= usize::from(c.staggered.take().is_some());
+        let server = c.server;
+        if let Some(node) = self.nodes.get_mut(&server) {
+            let connect_time = now.saturating_sub(c.link.started_at);
+            node.addresses.connected(c.link.address, connect_time);
+            for times in [node.times_mut(), &mut self.times] {
+                times.record_connect(connect_time);
+            }
+        }
+        self.dial_next_staggered(server, now);
+    }
+
+    /// Reads received bytes, up to a bound.
+    pub(super) fn read(&mut self, key: usize, closed: bool, buffer: &mut [u8], now: Nanos) {
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(c) = self.connections.get_mut(key).filter(|c| !c.paused) else { return };
+            match c.link.socket.read(buffer) {
+                Ok(0) => {
+                    self.connection_lost(key, now);
+                    return;
+                }
+                Ok(n) => {
+                    (c.last_read, c.has_unread) = (now, false);
+                    if !c.uses_resp3() || c.pipeline.in_flight() > 0 {
+                        c.last_active = now;
+                    }
+                    if !self.process_input(key, &buffer[..n], now) {
+                        self.close_unsolicited(key, now);
+                        return;
+                    }
+                    if self.connections.get(key).is_some_and(|c| c.streaming) {
+                        // The client's remaining buffer space is known once these bytes have been passed on.
+                        break;
+                    }
+                    // A short read has emptied the socket; only an end of stream can follow.
+                    if n < buffer.len() && !closed {
+                        return;
+                    }
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => {
+                    self.connection_lost(key, now);
+                    return;
+                }
+            }
+        }
+        self.unread.push(key);
+    }
+
+    /// Processes received bytes; returns false if the connection must be closed because they are unsolicited or no
+    /// attempt is waiting on it.
+    fn process_input(&mut self, key: usize, mut input: &[u8], now: Nanos) -> bool {
+        while !input.is_empty() {
+            let Some(c) = self.connections.get_mut(key) else { return true };
+            if c.hello_reply.is_some() {
+                let Some(used) = self.process_hello_reply(key, input) else { return true };
+                input = &input[used..];
+                continue;
+            }
+            let head = c.pipeline.head();
+            let resp3 = c.uses_resp3();
+            // An unsolicited reply would be taken for the reply to the next command.
+            if head.is_none() && !resp3 {
+                return false;
+            }
+            let Ok((used, item)) = c.reader.feed(input) else {
+                self.close_unreadable(key);
+                return true;
+            };
+            if !resp3 && head != Some(None) && !matches!(item, Some(ServerMessage::Part(_))) {
+                c.reply_bytes.extend_from_slice(&input[..used]);
+            }
+            input = &input[used..];
+            let (reply, value) = match item {
+                Some(ServerMessage::Reply(reply, value)) => (reply, value),
+                Some(ServerMessage::Part(part)) => match self.process_part(key, part) {
+                    Some(reply) => (reply, Vec::new()),
+                    None => continue,
+                },
+                Some(ServerMessage::Push(frames)) => {
+                    self.events.push_back(NodeEvent::Push(c.server, frames));
+                    continue;
+                }
+                None => continue,
+            };
+            if !self.process_reply(key, reply, value, now) {
+                return false;
+            }
+        }
+        // If only cancelled attempts are left, closing the connection spares the node their work.
+        self.connections.get(key).is_none_or(|c| !c.pipeline.has_no_waiters() || c.pipeline.in_flight() == 0)
+    }
+
+    /// Processes the answer to `HELLO`; returns how many bytes belong to it, or `None` if the connection was closed.
+    fn process_hello_reply(&mut self, key: usize, input: &[u8]) -> Option<usize> {
+        let c = self.connections.get_mut(key)?;
+        let node = self.nodes.get_mut(&c.server);
+        let Ok((used, answer)) = c.hello_reply.as_mut()?.feed(input) else {
+            node.map(|n| n.record_protocol(Protocol::Two));
+            self.close_unreadable(key);
+            return None;
+        };
+        let Some(answer) = answer else { return Some(used) };
+        let protocol = *answer.as_ref().unwrap_or(&Protocol::Two);
+        (c.hello_reply, c.reader) = (None, ReplyReader::new(protocol));
+        let Some(node) = node else { return Some(used) };
+        if let (true, Err(error)) = (node.record_protocol(protocol), answer) {
+            let error = String::from_utf8_lossy(&error).escape_debug().to_string();
+            eprintln!("{}: refused HELLO 3 ({error}); using RESP2 until the node restarts", node.name);
+        }
+        Some(used)
+    }
+
+    /// Processes a complete reply; returns false if no command is waiting for one.
+    fn process_reply(&mut self, key: usize, reply: Reply, value: Vec<u8>, now: Nanos) -> bool {
+        let Some(c) = self.connections.get_mut(key) else { return true };
+        let Some(answered) = c.pipeline.complete_head(now) else { return false };
+        let bytes = if c.uses_resp3() { value } else { std::mem::take(&mut c.reply_bytes) };
+        let streamed = std::mem::take(&mut c.streaming);
+        c.last_reply = now;
+        c.ready_at = if c.depth() == 0 { now + self.limits.settle_delay.duration() } else { now };
+        let (server, is_first) = (c.server, !std::mem::replace(&mut c.has_replied, true));
+        if let Some(node) = self.nodes.get_mut(&c.server) {
+            node.addresses.answer_received(c.link.address, answered.latency, now);
+            for times in [node.times_mut(), &mut self.times] {
+                times.record_answer(answered.kind, answered.pipelined, answered.latency, answered.head_time);
+            }
+        }
+        if c.idle_before_write > 0 {
+            self.idle_outcomes.record(std::mem::take(&mut c.idle_before_write), false);
+        }
+        if is_first {
+            let replied = self.replied_connections(server);
+            self.nodes.get_mut(&server).into_iter().for_each(|n| n.capacity.record_answering(replied));
+        }
+        let Some((id, attempt)) = answered.tag else { return true };
+        self.events.push_back(match reply.kind {
+            _ if streamed => NodeEvent::ValueComplete(id, reply),
+            ReplyKind::Served => {
+                let response_time = (!answered.pipelined).then_some(answered.latency);
+                NodeEvent::Served(id, attempt, reply, bytes, response_time)
+            }
+            ReplyKind::Busy => NodeEvent::Ended(id, attempt, Status::Rejected, reply),
+            ReplyKind::Failed => NodeEvent::Ended(id, attempt, Status::Error, reply),
+        });
+        true
+    }
+
+    /// Processes a part of a long value; returns its reply once that is complete. The parts of a value whose attempt
+    /// was cancelled are dropped.
+    fn process_part(&mut self, key: usize, part: ReplyPart) -> Option<Reply> {
+        let c = self.connections.get_mut(key)?;
+        c.reply_bytes.clear();
+        if let Some((id, attempt)) = c.pipeline.head().flatten() {
+            if let Some((shape, length)) = part.head {
+                c.streaming = true;
+                self.events.push_back(NodeEvent::ValueStarted(id, attempt, key, shape, length));
+            }
+            if c.streaming && !part.bytes.is_empty() {
+                self.events.push_back(NodeEvent::ValueBytes(id, part.bytes));
+            }
+        }
+        part.tail
+    }
+
+    /// The connection, if it streams the long value of this request.
+    fn streaming_connection(&mut self, key: usize, id: RequestId) -> Option<&mut Connection> {
+        let head_is_request =
+            |c: &Connection| c.pipeline.head().flatten().is_some_and(|(head, _)| head == id);
+        self.connections.get_mut(key).filter(|c| c.streaming && head_is_request(c))
+    }
+
+    /// Pauses or resumes reading a long value.
+    pub fn set_paused(&mut self, key: usize, id: RequestId, paused: bool, now: Nanos) {
+        let Some(c) = self.streaming_connection(key, id) else { return };
+        if std::mem::replace(&mut c.paused, paused) && !paused {
+            c.last_read = now;
+            self.unread.push(key);
+        }
+    }
+
+    /// Closes a connection that streams a long value which no client waits for any more.
+    pub fn stop_streaming(&mut self, key: usize, id: RequestId) {
+        if self.streaming_connection(key, id).is_some() {
+            self.close(key);
+        }
+    }
+}
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The life of a request, in order: it arrives, passes the gates, is decided on by the balancer, sent to cache nodes,
 //! has outcomes, is answered, and retired.
 
-use crate::boxes::{self, GivenUp, Job};
+use crate::boxes::{self, AbandonedAttempt, QueuedAttempt};
 use crate::front::clients;
 use crate::gates::Verdict;
 use crate::observers::{FinalResult, Notification};
@@ -110,7 +110,7 @@
         let latency_target = class.map_or(0, |c| c.latency_target);
         let target = started.deadline.saturating_sub(started.query.timeout) + latency_target;
         let aim = if latency_target == 0 { until } else { target.min(until) };
-        let job = Job { id, attempt, query: started.query, aim, until };
+        let job = QueuedAttempt { id, attempt, query: started.query, target: aim, deadline: until };
         if let Some((connection, new)) = self.boxes.send(server, job, now) {
             self.assign_connection(id, attempt, connection, new);
         }
@@ -122,14 +122,14 @@
         id: RequestId,
         attempt: u32,
         connection: usize,
-        new: Option<boxes::Begun>,
+        new: Option<boxes::NewConnection>,
     ) {
         let now = self.event_loop.now;
         let timers = &mut self.event_loop.timers;
         if let Some(new) = new {
             let timeout = self.config.settings.connect_timeout.max(MS);
             timers.set(now + timeout, TimerEvent::ConnectTimeout(connection, new.serial));
-            if let Some(delay) = new.stagger {
+            if let Some(delay) = new.stagger_delay {
                 timers.set(now + delay, TimerEvent::ConnectionAttemptDelay(connection, new.serial));
             }
         }
@@ -140,7 +140,7 @@
     pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, mut status: Status) {
         let Some(a) = self.requests.attempt(id, attempt) else { return };
         if let Some(connection) = a.connection {
-            let given_up = GivenUp { sent: a.sent, late: status == Status::Timeout };
+            let given_up = AbandonedAttempt { sent_at: a.sent, timed_out: status == Status::Timeout };
             if status == Status::Timeout && !self.boxes.is_written(connection, id, attempt) {
                 status = Status::ConnectFailed;
             }
@@ -158,10 +158,12 @@
 
     // ---- outcomes ----
 
-    pub(crate) fn handle_attempt_event(&mut self, event: boxes::News) {
+    pub(crate) fn handle_attempt_event(&mut self, event: boxes::NodeEvent) {
         match event {
-            boxes::News::Ended(id, attempt, status, reply) => self.attempt_ended(id, attempt, status, &reply),
-            boxes::News::Served(id, attempt, reply, bytes, took) => {
+            boxes::NodeEvent::Ended(id, attempt, status, reply) => {
+                self.attempt_ended(id, attempt, status, &reply)
+            }
+            boxes::NodeEvent::Served(id, attempt, reply, bytes, took) => {
                 let shadowed = self.query_to_shadow(id);
                 self.answer(id, Answer::Served(&reply, &bytes), FinalResult::Served);
                 self.attempt_ended(id, attempt, Status::Ok, &reply);
@@ -169,7 +171,7 @@
                     self.shadow_served(&query, &reply, &bytes, took);
                 }
             }
-            boxes::News::Begun(id, attempt, connection, shape, length) => {
+            boxes::NodeEvent::ValueStarted(id, attempt, connection, shape, length) => {
                 // If the attempt has been cancelled since, another one may be answering the request.
                 if self.requests.attempt(id, attempt).is_some() {
                     let shadowed = self.query_to_shadow(id);
@@ -180,13 +182,13 @@
                 }
                 self.attempt_ended(id, attempt, Status::Ok, &resp::Reply::default());
             }
-            boxes::News::Passed(id, bytes) => self.forward_part(id, &bytes),
-            boxes::News::Done(id, reply) => self.finish_stream(id, &reply),
-            boxes::News::Cut(id) => self.abort_stream(id),
-            boxes::News::Moved(id, attempt, connection, new) => {
+            boxes::NodeEvent::ValueBytes(id, bytes) => self.forward_part(id, &bytes),
+            boxes::NodeEvent::ValueComplete(id, reply) => self.finish_stream(id, &reply),
+            boxes::NodeEvent::ValueTruncated(id) => self.abort_stream(id),
+            boxes::NodeEvent::Reassigned(id, attempt, connection, new) => {
                 self.assign_connection(id, attempt, connection, new);
             }
-            boxes::News::Push(server, message) => {
+            boxes::NodeEvent::Push(server, message) => {
                 self.observers.notify(Notification::Push(server, &message));
             }
         }
