--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,59 +1,61 @@
-//! The commands of clients: arrays of bulk strings, in both protocols.
+//! The commands of clients: arrays of bulk strings, in RESP2 and RESP3 alike.
 
-use crate::number::Number;
-use crate::room::Reservation;
+use crate::length::LengthParser;
+use crate::memory::Reservation;
 use crate::{MemoryBudget, ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES};
 
-/// Arguments that a command may have; `CACHE.SET` has five.
+/// The most arguments that a command may have; `CACHE.SET` has five.
 const MAX_ARGS: usize = 16;
-/// The value is the fifth argument. All others are short; a longer one must fit what memory is left.
-const VALUE_AT: usize = 4;
-const SMALL_ARG: usize = 1 << 10;
-/// What the arguments of most commands take together.
-const USUAL: usize = 128;
-
-/// A whole command: its arguments, one after the other in one block.
+/// The index of the value among the arguments of `CACHE.SET`. All other arguments are short.
+const VALUE_INDEX: usize = 4;
+/// The longest argument other than the value. A longer value needs a reservation in the memory budget.
+const MAX_SHORT_ARG_BYTES: usize = 1 << 10;
+/// The initial capacity for a command's arguments, enough for most commands.
+const INITIAL_CAPACITY_BYTES: usize = 128;
+
+/// A complete command, with its arguments stored back to back in one buffer.
 #[derive(Debug, Default)]
 pub struct Command {
     bytes: Vec<u8>,
+    /// The end offset of each argument in `bytes`.
     ends: [u32; MAX_ARGS],
     count: usize,
-    /// False if a value was dropped for want of room.
-    whole: bool,
-    leases: Vec<Reservation>,
+    /// False if a value was dropped because the memory budget was exhausted.
+    complete: bool,
+    reservations: Vec<Reservation>,
 }
 
 impl Command {
-    /// How many arguments there are, the command's name counted.
+    /// The number of arguments, including the command's name.
     pub fn arity(&self) -> usize {
         self.count
     }
 
-    /// False if memory was short and a value had to be dropped.
+    /// False if a value was dropped because the memory budget was exhausted.
     pub fn is_complete(&self) -> bool {
-        self.whole
+        self.complete
     }
 
-    /// An argument; empty if there is none of this number.
-    pub fn arg(&self, i: usize) -> &[u8] {
-        if i >= self.count {
+    /// The argument at `index`, or an empty slice if there is none.
+    pub fn arg(&self, index: usize) -> &[u8] {
+        if index >= self.count {
             return &[];
         }
-        let start = if i == 0 { 0 } else { self.ends[i - 1] as usize };
-        &self.bytes[start..self.ends[i] as usize]
+        let start = if index == 0 { 0 } else { self.ends[index - 1] as usize };
+        &self.bytes[start..self.ends[index] as usize]
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum CommandState {
     Start,
-    Count(Number),
+    Count(LengthParser),
     Dollar,
-    Length(Number),
-    /// A long value of so many bytes waits until there is room for it.
-    Wait(usize),
+    Length(LengthParser),
+    /// A value of this many bytes waits for memory.
+    WaitForMemory(usize),
     Body {
-        left: usize,
+        remaining: usize,
         keep: bool,
     },
     Cr,
@@ -63,62 +65,64 @@
 /// Parses the commands on a client's connection.
 #[derive(Debug)]
 pub struct CommandParser {
-    room: MemoryBudget,
+    budget: MemoryBudget,
     state: CommandState,
-    left: i64,
+    /// Arguments of the current command that are still to come.
+    remaining_args: i64,
     command: Command,
 }
 
 impl CommandParser {
-    /// A parser at the start of a connection; long values take from `room`.
-    pub fn new(room: MemoryBudget) -> Self {
-        CommandParser { room, state: CommandState::Start, left: 0, command: Command::default() }
+    /// A parser for a new connection, which reserves the memory for long values in `budget`.
+    pub fn new(budget: MemoryBudget) -> Self {
+        CommandParser { budget, state: CommandState::Start, remaining_args: 0, command: Command::default() }
     }
 
-    /// True if a command has begun and not ended.
+    /// True if the input so far ends within a command.
     pub fn in_progress(&self) -> bool {
         !matches!(self.state, CommandState::Start)
     }
 
-    /// True if the command's value has begun and is not whole.
+    /// True if the input so far ends within the command's value.
     pub fn in_value(&self) -> bool {
-        use CommandState::{Body, Cr, Lf, Wait};
-        self.command.count == VALUE_AT && matches!(self.state, Wait(_) | Body { .. } | Cr | Lf)
+        use CommandState::{Body, Cr, Lf, WaitForMemory};
+        self.command.count == VALUE_INDEX && matches!(self.state, WaitForMemory(_) | Body { .. } | Cr | Lf)
     }
 
-    /// True if nothing more is taken before there is room for the value that comes next.
+    /// True if no input is taken until there is memory for the next value.
     pub fn waits_for_memory(&self) -> bool {
-        matches!(self.state, CommandState::Wait(_))
+        matches!(self.state, CommandState::WaitForMemory(_))
     }
 
-    /// Asks for that room again; true if nothing is waited for.
+    /// Tries again to reserve the memory for the next value; returns true unless the parser still waits for
+    /// memory.
     pub fn retry_reservation(&mut self) -> bool {
-        if let CommandState::Wait(length) = self.state {
-            self.begin(length);
+        if let CommandState::WaitForMemory(length) = self.state {
+            self.begin_argument(length);
         }
         !self.waits_for_memory()
     }
 
-    /// Takes input up to the end of a command; tells how much it took, and the command once it is whole. It takes
-    /// less, perhaps nothing, where it comes to wait for room.
+    /// Takes input up to the end of a command; returns the number of bytes taken, and the command once it is
+    /// complete. Stops early, possibly without taking a byte, when a value has to wait for memory.
     pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Command>), ProtocolError> {
         let mut at = 0;
         while at < input.len() && !self.waits_for_memory() {
-            if let CommandState::Body { left, keep } = &mut self.state {
-                let part = &input[at..input.len().min(at + *left)];
+            if let CommandState::Body { remaining, keep } = &mut self.state {
+                let part = &input[at..input.len().min(at + *remaining)];
                 if *keep {
                     self.command.bytes.extend_from_slice(part);
                 }
                 at += part.len();
-                *left -= part.len();
-                if *left == 0 {
+                *remaining -= part.len();
+                if *remaining == 0 {
                     self.state = CommandState::Cr;
                 }
                 continue;
             }
             let byte = input[at];
             at += 1;
-            if self.byte(byte)? {
+            if self.push_byte(byte)? {
                 self.state = CommandState::Start;
                 return Ok((at, Some(std::mem::take(&mut self.command))));
             }
@@ -126,66 +130,71 @@
         Ok((at, None))
     }
 
-    /// Takes a byte outside of an argument's body; true if it ended the command.
-    fn byte(&mut self, byte: u8) -> Result<bool, ProtocolError> {
+    /// Takes a byte outside of an argument's body; returns true if it completed the command.
+    fn push_byte(&mut self, byte: u8) -> Result<bool, ProtocolError> {
         match &mut self.state {
-            CommandState::Start if byte == b'*' => self.state = CommandState::Count(Number::default()),
+            CommandState::Start if byte == b'*' => self.state = CommandState::Count(LengthParser::default()),
             CommandState::Start => return Err(ProtocolError("expected '*'")),
-            CommandState::Count(number) => match number.push(byte)? {
+            CommandState::Count(parser) => match parser.push(byte)? {
                 None => {}
                 Some(0) => self.state = CommandState::Start,
                 Some(n) if n < 0 || n > MAX_ARGS as i64 => {
                     return Err(ProtocolError("invalid multibulk length"))
                 }
                 Some(n) => {
-                    self.left = n;
-                    self.command.whole = true;
-                    self.command.bytes.reserve(USUAL);
+                    self.remaining_args = n;
+                    self.command.complete = true;
+                    self.command.bytes.reserve(INITIAL_CAPACITY_BYTES);
                     self.state = CommandState::Dollar;
                 }
             },
-            CommandState::Dollar if byte == b'$' => self.state = CommandState::Length(Number::default()),
+            CommandState::Dollar if byte == b'$' => {
+                self.state = CommandState::Length(LengthParser::default())
+            }
             CommandState::Dollar => return Err(ProtocolError("expected '$'")),
-            CommandState::Length(number) => {
-                if let Some(n) = number.push(byte)? {
-                    let most =
-                        if self.command.count == VALUE_AT { MAX_STREAMED_VALUE_BYTES } else { SMALL_ARG };
-                    let length = usize::try_from(n).ok().filter(|n| *n <= most);
+            CommandState::Length(parser) => {
+                if let Some(n) = parser.push(byte)? {
+                    let is_value = self.command.count == VALUE_INDEX;
+                    let max = if is_value { MAX_STREAMED_VALUE_BYTES } else { MAX_SHORT_ARG_BYTES };
+                    let length = usize::try_from(n).ok().filter(|n| *n <= max);
                     let length = length.ok_or(ProtocolError("invalid bulk length"))?;
-                    self.begin(length);
+                    self.begin_argument(length);
                 }
             }
             CommandState::Cr if byte == b'\r' => self.state = CommandState::Lf,
             CommandState::Lf if byte == b'\n' => {
                 self.command.ends[self.command.count] = self.command.bytes.len() as u32;
                 self.command.count += 1;
-                self.left -= 1;
+                self.remaining_args -= 1;
                 self.state = CommandState::Dollar;
-                return Ok(self.left == 0);
+                return Ok(self.remaining_args == 0);
             }
             _ => return Err(ProtocolError("expected a line end")),
         }
         Ok(false)
     }
 
-    fn begin(&mut self, length: usize) {
+    /// Reserves memory for an argument of this length, and decides whether to store, drop or delay it.
+    fn begin_argument(&mut self, length: usize) {
         let mut keep = true;
-        if length > SMALL_ARG {
-            // Danger: a value for which there is no room must be read to its end all the same, or its sender
-            // would wait unanswered; its bytes are dropped and the command refused.
-            match self.room.lease(length) {
-                Some(lease) => {
-                    self.command.leases.push(lease);
+        if length > MAX_SHORT_ARG_BYTES {
+            match self.budget.reserve(length) {
+                Some(reservation) => {
+                    self.command.reservations.push(reservation);
                     self.command.bytes.reserve_exact(length);
                 }
-                // Not read on, a longer one keeps its sender waiting and costs no memory here.
-                None if length > MAX_BUFFERED_VALUE_BYTES && length <= self.room.all() => {
-                    self.state = CommandState::Wait(length);
+                // A streamed value that fits the budget is not read on: its sender waits, and it takes no
+                // memory here.
+                None if length > MAX_BUFFERED_VALUE_BYTES && length <= self.budget.capacity() => {
+                    self.state = CommandState::WaitForMemory(length);
                     return;
                 }
-                None => (keep, self.command.whole) = (false, false),
+                // The value is read to its end but dropped, so that the command can be answered with an
+                // error. Otherwise its sender would wait without an answer.
+                None => (keep, self.command.complete) = (false, false),
             }
         }
-        self.state = if length == 0 { CommandState::Cr } else { CommandState::Body { left: length, keep } };
+        self.state =
+            if length == 0 { CommandState::Cr } else { CommandState::Body { remaining: length, keep } };
     }
 }
--- a/crates/resp/src/decode.rs
+++ b/crates/resp/src/decode.rs
@@ -1,18 +1,19 @@
-//! Frames of RESP2 and RESP3 as events, one pass over the input, with bounds on all that a peer can say.
+//! A decoder for the frames of RESP2 and RESP3, which emits events in one pass over the input, within limits
+//! on what a peer may send.
 
-use crate::number::Number;
-use crate::{ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_LINE};
+use crate::length::LengthParser;
+use crate::{ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES};
 
-/// What one frame may be at the most, streamed forms and all that is nested in it counted.
+/// The limits of one frame, including all nested frames and the streamed types.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Groups within groups.
+    /// The depth of nested aggregates.
     pub max_depth: usize,
-    /// Elements of all groups together; a pair of a map counts as two.
+    /// The elements of all aggregates together; a pair of a map counts as two.
     pub max_elements: usize,
-    /// Bytes of one blob, all its chunks together.
+    /// The bytes of one blob, including all its chunks.
     pub max_blob_bytes: usize,
-    /// Bytes of all lines and blobs together.
+    /// The bytes of all lines and blobs together.
     pub max_total_bytes: usize,
 }
 
@@ -27,83 +28,84 @@
     }
 }
 
-/// Frames that hold others.
+/// The aggregate types, whose frames contain others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Aggregate {
-    /// In order.
+    /// An ordered collection.
     Array,
-    /// In no order.
+    /// An unordered collection.
     Set,
     /// Keys and values in turn.
     Map,
-    /// A map that tells something of the value behind it.
+    /// Keys and values in turn, with metadata of the value that follows.
     Attribute,
-    /// What nobody asked for; it is an element of nothing.
+    /// Out-of-band data. It may come between the elements of another aggregate, but is not one of them.
     Push,
 }
 
-/// Frames of bytes that are told their length.
+/// The types whose length precedes their bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlobKind {
-    /// Any bytes.
+    /// A blob string, which RESP2 calls a bulk string.
     String,
-    /// An error.
+    /// A blob error.
     Error,
-    /// A text, and how it is written: `txt` or `mkd`.
+    /// A verbatim string, with its format: `txt` or `mkd`.
     Verbatim([u8; 3]),
 }
 
-/// A part of a frame.
+/// A decoded piece of a frame.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// Nothing; RESP2's null strings and arrays as well.
+    /// Null, including RESP2's null bulk string and null array.
     Null,
     /// `#t` or `#f`.
     Boolean(bool),
-    /// `:`
+    /// `:`, an integer.
     Integer(i64),
-    /// `,` with its text.
+    /// `,`, a double and its text.
     Double(f64, &'a [u8]),
-    /// `(`, its text checked.
+    /// `(`, the validated text of a big number.
     BigNumber(&'a [u8]),
-    /// `+`
+    /// `+`, a simple string.
     SimpleString(&'a [u8]),
-    /// `-`
+    /// `-`, a simple error.
     SimpleError(&'a [u8]),
-    /// A blob begins, of so many bytes if that is told (0 if not), ...
+    /// A blob starts, with its length, or 0 if it is streamed.
     BlobBegin(BlobKind, usize),
-    /// ... some of its bytes, ...
+    /// The next bytes of the blob.
     BlobBytes(&'a [u8]),
-    /// ... and it is whole.
+    /// The blob is complete.
     BlobEnd,
-    /// A group begins, and how many elements it has if that is told.
+    /// An aggregate starts, with the number of its elements, or pairs, unless it is streamed.
     AggregateBegin(Aggregate, Option<usize>),
-    /// The group that began last is whole.
+    /// The innermost open aggregate is complete.
     AggregateEnd(Aggregate),
 }
 
-/// What was ended by the last byte that was taken.
+/// What the last byte taken completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completed {
-    /// A frame at the top.
+    /// A frame at the top level.
     Frame,
-    /// A push, wherever it stood.
+    /// A push, at any level.
     Push,
 }
 
-/// What holds the elements that are being read.
+/// An open aggregate or streamed string.
 #[derive(Clone, Copy, Debug)]
 enum Level {
-    /// A group, and how many elements are to come.
+    /// An aggregate with a count, and the number of elements that are still to come.
     Counted(Aggregate, usize),
-    /// A group that says when it ends; its elements so far are odd in number.
+    /// A streamed aggregate, and whether it has an odd number of elements so far.
     Streamed(Aggregate, bool),
-    /// A string that says when it ends, and its bytes so far.
+    /// A streamed string, and the number of its bytes so far.
     Chunks(usize),
 }
 
+/// The types that consist of one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Line {
+enum LineType {
     Null,
     Boolean,
     Integer,
@@ -113,20 +115,20 @@
     SimpleError,
 }
 
-impl Line {
-    /// How long it may be.
-    fn most(self) -> usize {
+impl LineType {
+    /// The most bytes between the type byte and the line end.
+    fn max_bytes(self) -> usize {
         match self {
-            Line::Null => 0,
-            Line::Boolean => 1,
-            Line::Integer => 20,
-            Line::Double => 128,
-            Line::BigNumber | Line::SimpleString | Line::SimpleError => MAX_LINE,
+            LineType::Null => 0,
+            LineType::Boolean => 1,
+            LineType::Integer => 20,
+            LineType::Double => 128,
+            LineType::BigNumber | LineType::SimpleString | LineType::SimpleError => MAX_LINE_BYTES,
         }
     }
 }
 
-/// What a length belongs to.
+/// The types that start with a length or count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Header {
     Blob,
@@ -137,48 +139,50 @@
 }
 
 impl Header {
-    /// RESP3 has it without a length.
-    fn streams(self) -> bool {
+    /// True if RESP3 has a streamed form of the type, with `?` instead of the length.
+    fn may_be_streamed(self) -> bool {
         matches!(self, Header::Blob | Header::Aggregate(Aggregate::Array | Aggregate::Set | Aggregate::Map))
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// A frame begins, or a chunk.
+    /// Expects the type byte of a frame or chunk.
     Type,
-    Line(Line),
-    /// The line's `\r` has come.
-    LineEnd(Line),
-    Length(Header, Number),
-    /// `?` stands in its place; `\r` has come.
-    Unknown(Header, bool),
-    /// The format of a verbatim string: so many bytes of it, and the text's length.
+    Line(LineType),
+    /// The CR of the line has been read.
+    LineEnd(LineType),
+    Length(Header, LengthParser),
+    /// `?` has been read in place of the length, and whether the CR has.
+    StreamedLength(Header, bool),
+    /// The first bytes of a verbatim string with their number, and the length of the text after them.
     Format([u8; 4], usize, usize),
+    /// The bytes of a blob or chunk that are still to come.
     Body(usize),
+    /// Expects the CRLF after a body, and whether the CR has been read.
     BodyEnd(bool),
-    /// The end of a streamed group; `\r` has come.
-    Dot(bool),
+    /// The end marker of a streamed aggregate has been read, and whether the CR has.
+    EndMarker(bool),
 }
 
-/// What is set aside while a push is read.
+/// What the current frame has used of its limits.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spent {
+struct Usage {
     elements: usize,
     bytes: usize,
-    /// An attribute waits for the value that it belongs to.
+    /// An attribute has been read, but not the value that it belongs to.
     attributed: bool,
 }
 
-/// Reads frames. It keeps a line at the most; all else is handed on as it comes.
+/// Decodes frames into events. It buffers one line at most; the bytes of blobs are emitted as they arrive.
 #[derive(Debug)]
 pub struct Decoder {
     limits: Limits,
     state: State,
-    levels: Vec<Level>,
-    spent: Spent,
-    /// Set aside for the push at hand.
-    outer: Option<Spent>,
+    stack: Vec<Level>,
+    usage: Usage,
+    /// While a push is read: the usage of the frame around it.
+    enclosing_usage: Option<Usage>,
     line: Vec<u8>,
 }
 
@@ -189,50 +193,51 @@
 }
 
 impl Decoder {
-    /// A decoder at the start of a connection.
+    /// A decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
         Decoder {
             limits,
             state: State::Type,
-            levels: Vec::new(),
-            spent: Spent::default(),
-            outer: None,
+            stack: Vec::new(),
+            usage: Usage::default(),
+            enclosing_usage: None,
             line: Vec::new(),
         }
     }
 
-    /// True if a frame has begun and not ended.
+    /// True if the input so far ends within a frame.
     pub fn in_progress(&self) -> bool {
-        !matches!(self.state, State::Type) || !self.levels.is_empty() || self.spent.attributed
+        !matches!(self.state, State::Type) || !self.stack.is_empty() || self.usage.attributed
     }
 
-    /// Takes input up to the end of a frame or of a push; tells how much it took.
+    /// Takes input up to the end of a frame or of a push and emits its events; returns the number of bytes
+    /// taken, and what was completed.
     ///
     /// # Errors
-    /// The input is not the protocol's, goes past a limit, or `tell` said so. Nothing can be understood after it.
+    /// The input is not valid, exceeds a limit, or `emit` failed. Nothing after it can be parsed.
     pub fn feed(
         &mut self,
         input: &[u8],
-        mut tell: impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+        mut emit: impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
     ) -> Result<(usize, Option<Completed>), ProtocolError> {
         let mut at = 0;
         while at < input.len() {
             match &mut self.state {
-                State::Body(left) => {
-                    let part = &input[at..input.len().min(at + *left)];
-                    *left -= part.len();
+                State::Body(remaining) => {
+                    let part = &input[at..input.len().min(at + *remaining)];
+                    *remaining -= part.len();
                     at += part.len();
-                    if *left == 0 {
+                    if *remaining == 0 {
                         self.state = State::BodyEnd(false);
                     }
-                    tell(Event::BlobBytes(part))?;
+                    emit(Event::BlobBytes(part))?;
                     continue;
                 }
-                State::Line(kind) => {
+                State::Line(line_type) => {
                     let rest = &input[at..];
                     let end = memchr::memchr2(b'\r', b'\n', rest);
                     let part = &rest[..end.unwrap_or(rest.len())];
-                    if self.line.len() + part.len() > kind.most() {
+                    if self.line.len() + part.len() > line_type.max_bytes() {
                         return Err(ProtocolError("line is too long"));
                     }
                     self.line.extend_from_slice(part);
@@ -241,7 +246,7 @@
                         if input[at] == b'\n' {
                             return Err(ProtocolError("expected a line end"));
                         }
-                        self.state = State::LineEnd(*kind);
+                        self.state = State::LineEnd(*line_type);
                         at += 1;
                     }
                     continue;
@@ -250,100 +255,104 @@
             }
             let byte = input[at];
             at += 1;
-            if let Some(whole) = self.byte(byte, &mut tell)? {
-                return Ok((at, Some(whole)));
+            if let Some(completed) = self.push_byte(byte, &mut emit)? {
+                return Ok((at, Some(completed)));
             }
         }
         Ok((at, None))
     }
 
-    fn byte(
+    /// Takes a byte outside of a line or body.
+    fn push_byte(
         &mut self,
         byte: u8,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+        emit: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
     ) -> Result<Option<Completed>, ProtocolError> {
         match &mut self.state {
-            State::Type => self.begin(byte)?,
-            State::LineEnd(kind) if byte == b'\n' => {
-                let kind = *kind;
-                return self.line(kind, tell);
+            State::Type => self.begin_frame(byte)?,
+            State::LineEnd(line_type) if byte == b'\n' => {
+                let line_type = *line_type;
+                return self.finish_line(line_type, emit);
             }
-            State::Length(header, number) => {
+            State::Length(header, parser) => {
                 let header = *header;
-                if byte == b'?' && *number == Number::default() && header.streams() {
-                    self.state = State::Unknown(header, false);
-                } else if let Some(length) = number.push(byte)? {
-                    return self.length(header, length, tell);
+                if byte == b'?' && *parser == LengthParser::default() && header.may_be_streamed() {
+                    self.state = State::StreamedLength(header, false);
+                } else if let Some(length) = parser.push(byte)? {
+                    return self.finish_length(header, length, emit);
                 }
             }
-            State::Unknown(header, false) if byte == b'\r' => self.state = State::Unknown(*header, true),
-            State::Unknown(header, true) if byte == b'\n' => {
+            State::StreamedLength(header, false) if byte == b'\r' => {
+                self.state = State::StreamedLength(*header, true)
+            }
+            State::StreamedLength(header, true) if byte == b'\n' => {
                 let level = match *header {
-                    Header::Aggregate(group) => {
-                        tell(Event::AggregateBegin(group, None))?;
-                        Level::Streamed(group, false)
+                    Header::Aggregate(aggregate) => {
+                        emit(Event::AggregateBegin(aggregate, None))?;
+                        Level::Streamed(aggregate, false)
                     }
                     _ => {
-                        tell(Event::BlobBegin(BlobKind::String, 0))?;
+                        emit(Event::BlobBegin(BlobKind::String, 0))?;
                         Level::Chunks(0)
                     }
                 };
-                self.push(level)?;
+                self.open(level)?;
             }
-            State::Format(format, got, length) => {
-                format[*got] = byte;
-                *got += 1;
-                if *got == format.len() {
+            State::Format(format, filled, length) => {
+                format[*filled] = byte;
+                *filled += 1;
+                if *filled == format.len() {
                     let [a, b, c, colon] = *format;
                     if colon != b':' {
-                        return Err(ProtocolError("a verbatim string has no format"));
+                        return Err(ProtocolError("verbatim string without a format"));
                     }
-                    let left = *length;
-                    tell(Event::BlobBegin(BlobKind::Verbatim([a, b, c]), left))?;
-                    self.body(left);
+                    let length = *length;
+                    emit(Event::BlobBegin(BlobKind::Verbatim([a, b, c]), length))?;
+                    self.begin_body(length);
                 }
             }
             State::BodyEnd(false) if byte == b'\r' => self.state = State::BodyEnd(true),
             State::BodyEnd(true) if byte == b'\n' => {
                 self.state = State::Type;
-                // A chunk ends; its string does not.
-                if !matches!(self.levels.last(), Some(Level::Chunks(_))) {
-                    tell(Event::BlobEnd)?;
-                    return self.complete(tell);
+                // The end of a chunk does not end its string.
+                if !matches!(self.stack.last(), Some(Level::Chunks(_))) {
+                    emit(Event::BlobEnd)?;
+                    return self.finish_value(emit);
                 }
             }
-            State::Dot(false) if byte == b'\r' => self.state = State::Dot(true),
-            State::Dot(true) if byte == b'\n' => {
+            State::EndMarker(false) if byte == b'\r' => self.state = State::EndMarker(true),
+            State::EndMarker(true) if byte == b'\n' => {
                 self.state = State::Type;
-                let Some(Level::Streamed(group, _)) = self.levels.pop() else {
-                    return Err(ProtocolError("nothing to end"));
+                let Some(Level::Streamed(aggregate, _)) = self.stack.pop() else {
+                    return Err(ProtocolError("unexpected end marker"));
                 };
-                tell(Event::AggregateEnd(group))?;
-                return self.complete(tell);
+                emit(Event::AggregateEnd(aggregate))?;
+                return self.finish_value(emit);
             }
             _ => return Err(ProtocolError("expected a line end")),
         }
         Ok(None)
     }
 
-    fn begin(&mut self, byte: u8) -> Result<(), ProtocolError> {
-        let header = |header| State::Length(header, Number::default());
-        let chunks = matches!(self.levels.last(), Some(Level::Chunks(_)));
+    /// Takes the type byte of a frame, chunk or end marker.
+    fn begin_frame(&mut self, byte: u8) -> Result<(), ProtocolError> {
+        let header = |header| State::Length(header, LengthParser::default());
+        let in_chunks = matches!(self.stack.last(), Some(Level::Chunks(_)));
         self.state = match byte {
-            b'>' if self.outer.is_some() => return Err(ProtocolError("a push within a push")),
+            b'>' if self.enclosing_usage.is_some() => return Err(ProtocolError("push within a push")),
             b'>' => header(Header::Aggregate(Aggregate::Push)),
-            b';' if chunks => header(Header::Chunk),
-            _ if chunks => return Err(ProtocolError("expected a chunk")),
+            b';' if in_chunks => header(Header::Chunk),
+            _ if in_chunks => return Err(ProtocolError("expected a chunk")),
             b'|' => header(Header::Aggregate(Aggregate::Attribute)),
-            b'.' => match self.levels.last() {
+            b'.' => match self.stack.last() {
                 Some(Level::Streamed(Aggregate::Map, true)) => {
-                    return Err(ProtocolError("a key without a value"))
+                    return Err(ProtocolError("map key without a value"))
                 }
-                Some(Level::Streamed(..)) if !self.spent.attributed => State::Dot(false),
-                _ => return Err(ProtocolError("nothing to end")),
+                Some(Level::Streamed(..)) if !self.usage.attributed => State::EndMarker(false),
+                _ => return Err(ProtocolError("unexpected end marker")),
             },
             _ => {
-                self.spent.attributed = false;
+                self.usage.attributed = false;
                 match byte {
                     b'$' => header(Header::Blob),
                     b'!' => header(Header::BlobError),
@@ -351,14 +360,14 @@
                     b'*' => header(Header::Aggregate(Aggregate::Array)),
                     b'~' => header(Header::Aggregate(Aggregate::Set)),
                     b'%' => header(Header::Aggregate(Aggregate::Map)),
-                    b'_' => State::Line(Line::Null),
-                    b'#' => State::Line(Line::Boolean),
-                    b':' => State::Line(Line::Integer),
-                    b',' => State::Line(Line::Double),
-                    b'(' => State::Line(Line::BigNumber),
-                    b'+' => State::Line(Line::SimpleString),
-                    b'-' => State::Line(Line::SimpleError),
-                    _ => return Err(ProtocolError("unknown type")),
+                    b'_' => State::Line(LineType::Null),
+                    b'#' => State::Line(LineType::Boolean),
+                    b':' => State::Line(LineType::Integer),
+                    b',' => State::Line(LineType::Double),
+                    b'(' => State::Line(LineType::BigNumber),
+                    b'+' => State::Line(LineType::SimpleString),
+                    b'-' => State::Line(LineType::SimpleError),
+                    _ => return Err(ProtocolError("unknown type byte")),
                 }
             }
         };
@@ -366,185 +375,194 @@
         Ok(())
     }
 
-    fn line(
+    /// Emits the event of a complete line.
+    fn finish_line(
         &mut self,
-        kind: Line,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+        line_type: LineType,
+        emit: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
     ) -> Result<Option<Completed>, ProtocolError> {
         self.state = State::Type;
-        self.spend(0, self.line.len())?;
+        self.add_usage(0, self.line.len())?;
         let text = &self.line[..];
-        tell(match kind {
-            Line::Null => Event::Null,
-            Line::Boolean if text == b"t" || text == b"f" => Event::Boolean(text == b"t"),
-            Line::Boolean => return Err(ProtocolError("invalid boolean")),
-            Line::Integer => Event::Integer(integer(text).ok_or(ProtocolError("invalid number"))?),
-            Line::Double => Event::Double(double(text).ok_or(ProtocolError("invalid double"))?, text),
-            Line::BigNumber if digits(unsigned(text)) => Event::BigNumber(text),
-            Line::BigNumber => return Err(ProtocolError("invalid big number")),
-            Line::SimpleString => Event::SimpleString(text),
-            Line::SimpleError => Event::SimpleError(text),
+        emit(match line_type {
+            LineType::Null => Event::Null,
+            LineType::Boolean if text == b"t" || text == b"f" => Event::Boolean(text == b"t"),
+            LineType::Boolean => return Err(ProtocolError("invalid boolean")),
+            LineType::Integer => Event::Integer(parse_integer(text).ok_or(ProtocolError("invalid number"))?),
+            LineType::Double => {
+                Event::Double(parse_double(text).ok_or(ProtocolError("invalid double"))?, text)
+            }
+            LineType::BigNumber if is_digits(without_sign(text)) => Event::BigNumber(text),
+            LineType::BigNumber => return Err(ProtocolError("invalid big number")),
+            LineType::SimpleString => Event::SimpleString(text),
+            LineType::SimpleError => Event::SimpleError(text),
         })?;
-        self.complete(tell)
+        self.finish_value(emit)
     }
 
-    fn length(
+    /// Starts the frame whose length or count has been read.
+    fn finish_length(
         &mut self,
         header: Header,
         length: i64,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+        emit: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
     ) -> Result<Option<Completed>, ProtocolError> {
         self.state = State::Type;
         if length == -1 && matches!(header, Header::Blob | Header::Aggregate(Aggregate::Array)) {
-            tell(Event::Null)?;
-            return self.complete(tell);
+            emit(Event::Null)?;
+            return self.finish_value(emit);
         }
         let length = usize::try_from(length).map_err(|_| ProtocolError("invalid length"))?;
-        if let Header::Aggregate(group) = header {
-            let count = match group {
+        if let Header::Aggregate(aggregate) = header {
+            let count = match aggregate {
                 Aggregate::Map | Aggregate::Attribute => length.saturating_mul(2),
-                Aggregate::Push if length == 0 => return Err(ProtocolError("an empty push")),
+                Aggregate::Push if length == 0 => return Err(ProtocolError("empty push")),
                 _ => length,
             };
-            if group == Aggregate::Push {
-                self.outer = Some(std::mem::take(&mut self.spent));
+            if aggregate == Aggregate::Push {
+                self.enclosing_usage = Some(std::mem::take(&mut self.usage));
             }
-            self.spend(count, 0)?;
-            tell(Event::AggregateBegin(group, Some(length)))?;
-            self.push(Level::Counted(group, count))?;
-            return if count == 0 { self.close(tell) } else { Ok(None) };
+            self.add_usage(count, 0)?;
+            emit(Event::AggregateBegin(aggregate, Some(length)))?;
+            self.open(Level::Counted(aggregate, count))?;
+            return if count == 0 { self.close_finished(emit) } else { Ok(None) };
         }
         if length > self.limits.max_blob_bytes {
             return Err(ProtocolError("invalid bulk length"));
         }
-        self.spend(0, length)?;
+        self.add_usage(0, length)?;
         match header {
             Header::Verbatim => {
-                let text = length.checked_sub(4).ok_or(ProtocolError("a verbatim string has no format"))?;
-                self.state = State::Format([0; 4], 0, text);
+                let text_length =
+                    length.checked_sub(4).ok_or(ProtocolError("verbatim string without a format"))?;
+                self.state = State::Format([0; 4], 0, text_length);
             }
             Header::Chunk => {
-                let Some(Level::Chunks(sum)) = self.levels.last_mut() else {
-                    return Err(ProtocolError("a chunk of nothing"));
+                let Some(Level::Chunks(total)) = self.stack.last_mut() else {
+                    return Err(ProtocolError("chunk outside of a streamed string"));
                 };
-                *sum += length;
-                if *sum > self.limits.max_blob_bytes {
+                *total += length;
+                if *total > self.limits.max_blob_bytes {
                     return Err(ProtocolError("invalid bulk length"));
                 }
                 if length == 0 {
-                    self.levels.pop();
-                    tell(Event::BlobEnd)?;
-                    return self.complete(tell);
+                    self.stack.pop();
+                    emit(Event::BlobEnd)?;
+                    return self.finish_value(emit);
                 }
                 self.state = State::Body(length);
             }
             _ => {
                 let blob = if header == Header::Blob { BlobKind::String } else { BlobKind::Error };
-                tell(Event::BlobBegin(blob, length))?;
-                self.body(length);
+                emit(Event::BlobBegin(blob, length))?;
+                self.begin_body(length);
             }
         }
         Ok(None)
     }
 
-    fn body(&mut self, length: usize) {
+    fn begin_body(&mut self, length: usize) {
         self.state = if length == 0 { State::BodyEnd(false) } else { State::Body(length) };
     }
 
-    fn push(&mut self, level: Level) -> Result<(), ProtocolError> {
-        if self.levels.len() >= self.limits.max_depth {
-            return Err(ProtocolError("nested too deep"));
+    /// Opens an aggregate or streamed string.
+    fn open(&mut self, level: Level) -> Result<(), ProtocolError> {
+        if self.stack.len() >= self.limits.max_depth {
+            return Err(ProtocolError("aggregates nested too deep"));
         }
-        self.levels.push(level);
+        self.stack.push(level);
         self.state = State::Type;
         Ok(())
     }
 
-    fn spend(&mut self, elements: usize, bytes: usize) -> Result<(), ProtocolError> {
-        self.spent.elements = self.spent.elements.saturating_add(elements);
-        self.spent.bytes = self.spent.bytes.saturating_add(bytes);
-        if self.spent.elements > self.limits.max_elements || self.spent.bytes > self.limits.max_total_bytes {
-            return Err(ProtocolError("too long"));
+    /// Counts elements and bytes against the limits of the current frame.
+    fn add_usage(&mut self, elements: usize, bytes: usize) -> Result<(), ProtocolError> {
+        self.usage.elements = self.usage.elements.saturating_add(elements);
+        self.usage.bytes = self.usage.bytes.saturating_add(bytes);
+        if self.usage.elements > self.limits.max_elements || self.usage.bytes > self.limits.max_total_bytes {
+            return Err(ProtocolError("frame exceeds the element or byte limit"));
         }
         Ok(())
     }
 
-    /// A value is whole: it is an element of the group at hand, which may be whole with it.
-    fn complete(
+    /// Ends a value, and the innermost open aggregate with it if the value is its last element.
+    fn finish_value(
         &mut self,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+        emit: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
     ) -> Result<Option<Completed>, ProtocolError> {
-        match self.levels.last_mut() {
+        match self.stack.last_mut() {
             None => {
-                self.spent = Spent::default();
+                self.usage = Usage::default();
                 return Ok(Some(Completed::Frame));
             }
-            Some(Level::Counted(_, left)) => {
-                *left -= 1;
-                if *left == 0 {
-                    return self.close(tell);
+            Some(Level::Counted(_, remaining)) => {
+                *remaining -= 1;
+                if *remaining == 0 {
+                    return self.close_finished(emit);
                 }
             }
             Some(Level::Streamed(_, odd)) => {
                 *odd = !*odd;
-                self.spend(1, 0)?;
+                self.add_usage(1, 0)?;
             }
             Some(Level::Chunks(_)) => return Err(ProtocolError("expected a chunk")),
         }
         Ok(None)
     }
 
-    /// Ends the groups that have all their elements. Attributes and pushes are no elements themselves.
-    fn close(
+    /// Ends the open aggregates that have all their elements. An attribute or push is not an element of the
+    /// aggregate around it.
+    fn close_finished(
         &mut self,
-        tell: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
+        emit: &mut impl FnMut(Event<'_>) -> Result<(), ProtocolError>,
     ) -> Result<Option<Completed>, ProtocolError> {
-        while let Some(Level::Counted(group, 0)) = self.levels.last().copied() {
-            self.levels.pop();
-            tell(Event::AggregateEnd(group))?;
-            match (group, self.levels.last_mut()) {
+        while let Some(Level::Counted(aggregate, 0)) = self.stack.last().copied() {
+            self.stack.pop();
+            emit(Event::AggregateEnd(aggregate))?;
+            match (aggregate, self.stack.last_mut()) {
                 (Aggregate::Attribute, _) => {
-                    self.spent.attributed = true;
+                    self.usage.attributed = true;
                     return Ok(None);
                 }
                 (Aggregate::Push, _) => {
-                    self.spent = self.outer.take().unwrap_or_default();
+                    self.usage = self.enclosing_usage.take().unwrap_or_default();
                     return Ok(Some(Completed::Push));
                 }
-                (_, Some(Level::Counted(_, left))) => *left -= 1,
-                _ => return self.complete(tell),
+                (_, Some(Level::Counted(_, remaining))) => *remaining -= 1,
+                _ => return self.finish_value(emit),
             }
         }
         Ok(None)
     }
 }
 
-fn unsigned(text: &[u8]) -> &[u8] {
+fn without_sign(text: &[u8]) -> &[u8] {
     text.strip_prefix(b"-").or(text.strip_prefix(b"+")).unwrap_or(text)
 }
 
-fn digits(text: &[u8]) -> bool {
+fn is_digits(text: &[u8]) -> bool {
     !text.is_empty() && text.iter().all(u8::is_ascii_digit)
 }
 
-fn integer(text: &[u8]) -> Option<i64> {
-    if !digits(unsigned(text)) {
+fn parse_integer(text: &[u8]) -> Option<i64> {
+    if !is_digits(without_sign(text)) {
         return None;
     }
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// A double as the specification has it: digits, a fraction, an exponent, or one of three words.
-fn double(text: &[u8]) -> Option<f64> {
+/// Parses a double as the specification defines it: digits with an optional fraction and exponent, or one of
+/// the words for infinities and NaN.
+fn parse_double(text: &[u8]) -> Option<f64> {
     match text {
         b"inf" | b"+inf" => return Some(f64::INFINITY),
         b"-inf" => return Some(f64::NEG_INFINITY),
         b"nan" => return Some(f64::NAN),
         _ => {}
     }
-    let plain = |b: &u8| b.is_ascii_digit() || b".eE+-".contains(b);
-    let begins = unsigned(text).first().is_some_and(u8::is_ascii_digit);
-    if !begins || !text.iter().all(plain) {
+    let is_allowed = |b: &u8| b.is_ascii_digit() || b".eE+-".contains(b);
+    let starts_with_digit = without_sign(text).first().is_some_and(u8::is_ascii_digit);
+    if !starts_with_digit || !text.iter().all(is_allowed) {
         return None;
     }
     std::str::from_utf8(text).ok()?.parse().ok()
--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Writes it. RESP2 gets what Redis has for the types that it lacks: null as a null string, booleans as 1 and
-    /// 0, doubles, big numbers and verbatim strings as bulk strings, a blob error as a line, maps flat, sets and
-    /// pushes as arrays, attributes not at all.
+    /// Writes it. RESP2 gets what Redis has for the types that it lacks: null as a null string, booleans as 1
+    /// and 0, doubles, big numbers and verbatim strings as bulk strings, a blob error as a line, maps flat,
+    /// sets and pushes as arrays, attributes not at all.
     pub fn write(&self, protocol: Protocol, out: &mut Vec<u8>) {
         let three = protocol == Protocol::Three;
         let mut left = vec![self];
@@ -171,7 +171,8 @@
 }
 
 impl FrameBuilder {
-    /// Takes an event; the frame that it made whole, if that is an element of nothing: one at the top, or a push.
+    /// Takes an event; the frame that it made whole, if that is an element of nothing: one at the top, or a
+    /// push.
     pub fn add_event(&mut self, event: Event<'_>) -> Option<Frame> {
         let frame = match event {
             Event::Null => Frame::Null,
--- a/crates/resp/src/number.rs
+++ b/crates/resp/src/length.rs
@@ -1,21 +1,22 @@
-//! Lengths and counts.
+//! Lengths and counts, as they follow the type byte of a frame.
 
 use crate::ProtocolError;
 
-/// No length or count has more digits.
+/// The most digits that a length or count may have.
 const MAX_DIGITS: u8 = 10;
 
-/// A number and its line end.
+/// Parses a decimal number and the CRLF after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Number {
+pub(crate) struct LengthParser {
     value: i64,
     digits: u8,
     negative: bool,
+    /// The CR has been read.
     cr: bool,
 }
 
-impl Number {
-    /// Takes one byte; the number once its line has ended.
+impl LengthParser {
+    /// Takes one byte; returns the number at the end of the line.
     pub(crate) fn push(&mut self, byte: u8) -> Result<Option<i64>, ProtocolError> {
         match byte {
             b'\n' if self.cr => Ok(Some(if self.negative { -self.value } else { self.value })),
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,44 +1,47 @@
-//! RESP2 and RESP3 as they come off a socket: commands of clients, replies of cache nodes, and frames of any kind,
-//! parsed as their bytes arrive. The parsers hold state, not input: no byte is looked at twice, nothing recurses
-//! as deep as a peer likes, and nothing here does I/O.
+//! Incremental parsers for RESP2 and RESP3: the commands of clients, the replies of cache nodes, and frames
+//! of any type.
 //!
-//! The protocols are those of the Redis documentation: "RESP protocol description" (RESP2, and RESP3's types) and
-//! the RESP3 specification, which has attributes, pushes and the streamed forms.
+//! The parsers keep their state between calls and take the input in pieces of any size, so no byte is parsed
+//! twice. They do not recurse, so a peer cannot exhaust the stack with nested frames. This crate does no I/O.
+//!
+//! The protocols are those of the Redis documentation: the "RESP protocol description" for RESP2 and the
+//! types of RESP3, and the RESP3 specification for attributes, pushes and the streamed types.
 
 mod command;
 mod decode;
 mod frame;
-mod number;
+mod length;
+mod memory;
 mod reply;
-mod room;
-mod three;
+mod resp3;
 
 pub use command::{Command, CommandParser};
 pub use decode::{Aggregate, BlobKind, Completed, Decoder, Event, Limits};
 pub use frame::{Frame, FrameBuilder, FrameReader};
+pub use memory::MemoryBudget;
 pub use reply::{BodyFormat, Reply, ReplyKind, ReplyParser, ReplyPart};
-pub use room::MemoryBudget;
-pub use three::{HelloOutcome, HelloReplyParser, ReplyReader, ServerMessage};
+pub use resp3::{HelloOutcome, HelloReplyParser, ReplyReader, ServerMessage};
 
-/// The longest value that is handed on whole.
+/// The longest value that is buffered and passed on whole.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
-/// The longest value there is. One over [`MAX_BUFFERED_VALUE_BYTES`] is handed on in parts as it comes.
+/// The longest value that is accepted. A value longer than [`MAX_BUFFERED_VALUE_BYTES`] is passed on in parts
+/// as it arrives.
 pub const MAX_STREAMED_VALUE_BYTES: usize = 4 << 20;
 /// The longest line, note or load report.
-const MAX_LINE: usize = 1 << 10;
+const MAX_LINE_BYTES: usize = 1 << 10;
 
-/// A version of the protocol, as one side of a connection speaks it.
+/// The version of the protocol that one side of a connection speaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Protocol {
-    /// RESP2, in which every connection begins.
+    /// RESP2, in which every connection starts.
     #[default]
     Two,
-    /// RESP3, from `HELLO 3` on.
+    /// RESP3, after `HELLO 3`.
     Three,
 }
 
 impl Protocol {
-    /// Its number, as `HELLO` has it.
+    /// The version number, as used in `HELLO`.
     pub fn number(self) -> u8 {
         match self {
             Protocol::Two => 2,
@@ -47,6 +50,7 @@
     }
 }
 
-/// The peer does not speak the protocol, or goes past its bounds; nothing after this can be understood.
+/// The peer violated the protocol or exceeded a limit, with the reason. The rest of the connection's input
+/// cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolError(pub &'static str);
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,69 +1,70 @@
-//! The replies of cache nodes in RESP2, and what replies are in either protocol.
+//! The replies of cache nodes: their parser for RESP2, and their representation, which is the same for RESP2
+//! and RESP3.
 
-use crate::number::Number;
-use crate::{Protocol, ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_LINE, MAX_STREAMED_VALUE_BYTES};
+use crate::length::LengthParser;
+use crate::{Protocol, ProtocolError, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES, MAX_STREAMED_VALUE_BYTES};
 use std::io::Write;
 use std::ops::Range;
 
-/// Elements of a reply that serves: value, note and load report.
-const ELEMENTS: i64 = 3;
+/// The number of elements in a successful reply: value, note and load report.
+const REPLY_ELEMENTS: i64 = 3;
 
-/// What kind of reply a cache node gave.
+/// The outcome that a reply reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplyKind {
-    /// A value or a receipt.
+    /// Success, with a value or a receipt.
     Served,
-    /// `-BUSY`: turned away unseen.
+    /// `-BUSY`: rejected without being processed.
     Busy,
-    /// Another error line, or a reply that carries no value.
+    /// Another error, or a reply without a value.
     #[default]
     Failed,
 }
 
-/// A whole reply, but for its bytes: those are what [`ReplyParser::feed`] took.
+/// A complete reply without its bytes, which are those that [`ReplyParser::feed`] took.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// What kind it is.
+    /// The outcome.
     pub kind: ReplyKind,
-    /// How a read went (`hit`, `miss`, `pending`); empty if not told.
+    /// The cache result of a read (`hit`, `miss`, `pending`); empty if the node did not report it.
     pub note: Vec<u8>,
-    /// The load report; empty if there is none.
+    /// The load report; empty if the node sent none.
     pub load: Vec<u8>,
-    /// Where the value stands in the bytes that come with the reply.
+    /// The position of the value in the bytes of the reply.
     pub value: Range<usize>,
-    /// What those bytes are.
+    /// The format of the bytes of the reply.
     pub shape: BodyFormat,
 }
 
-/// What the bytes are that come with a reply that serves.
+/// The format of the bytes that accompany a successful reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BodyFormat {
-    /// The whole reply in RESP2, as it stood on the wire.
+    /// The complete RESP2 reply as received.
     #[default]
     Resp2Reply,
-    /// The value alone: a string, ...
+    /// The value alone, a blob string.
     BlobString,
-    /// ... a string with its format, ...
+    /// The value alone, the text of a verbatim string with this format.
     Verbatim([u8; 3]),
-    /// ... a double as it was written, ...
+    /// The value alone, a double as received.
     Double,
-    /// ... or an integer of any size as it was written.
+    /// The value alone, a big number as received.
     BigNumber,
 }
 
 /// A part of a reply whose value is longer than [`MAX_BUFFERED_VALUE_BYTES`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplyPart {
-    /// The first part: what the value is, and how many bytes it has.
+    /// In the first part: the format and the length of the value.
     pub head: Option<(BodyFormat, usize)>,
-    /// Some of the value's bytes.
+    /// The next bytes of the value.
     pub bytes: Vec<u8>,
-    /// The last part: all else that the reply tells.
+    /// In the last part: the reply without its value.
     pub tail: Option<Reply>,
 }
 
 impl Reply {
-    /// The cache node had it in its cache; nothing if it does not say.
+    /// Whether the cache node had the value in its cache, or `None` if it did not report that.
     pub fn hit(&self) -> Option<bool> {
         match &self.note[..] {
             b"hit" => Some(true),
@@ -72,18 +73,18 @@
         }
     }
 
-    /// Takes in an error line: what kind it is, and the load report that may stand last.
-    pub(crate) fn error(&mut self, line: &[u8]) {
-        let word = line.split(|b| *b == b' ').next();
-        self.kind = if word == Some(b"BUSY") { ReplyKind::Busy } else { ReplyKind::Failed };
-        let last = line.rsplit(|b| *b == b' ').next().filter(|w| w.contains(&b'='));
-        if let Some(load) = last {
+    /// Sets the outcome from an error line, and the load report from its last word if that is one.
+    pub(crate) fn set_error(&mut self, line: &[u8]) {
+        let code = line.split(|b| *b == b' ').next();
+        self.kind = if code == Some(b"BUSY") { ReplyKind::Busy } else { ReplyKind::Failed };
+        let load = line.rsplit(|b| *b == b' ').next().filter(|w| w.contains(&b'='));
+        if let Some(load) = load {
             self.load = load.to_vec();
         }
     }
 
-    /// Writes a reply that serves, in a protocol, from the bytes that came with it. The value passes byte for
-    /// byte; a type that RESP2 lacks becomes a bulk string there, as Redis has it.
+    /// Writes a successful reply in `protocol`, from the bytes that came with it. The value is passed on byte
+    /// for byte; a type that RESP2 lacks becomes a bulk string in it, as in Redis.
     pub fn write(&self, bytes: &[u8], protocol: Protocol, out: &mut Vec<u8>) {
         if self.shape == BodyFormat::Resp2Reply && protocol == Protocol::Two {
             out.extend_from_slice(bytes);
@@ -95,7 +96,7 @@
         self.write_tail(protocol, out);
     }
 
-    /// Writes what stands before a value of this length.
+    /// Writes what precedes a value of `length` bytes.
     pub fn write_head(shape: BodyFormat, length: usize, protocol: Protocol, out: &mut Vec<u8>) {
         out.extend_from_slice(b"*3\r\n");
         // Writing to a vector cannot fail.
@@ -113,12 +114,12 @@
         }
     }
 
-    /// Writes what stands behind the value.
+    /// Writes what follows the value.
     pub fn write_tail(&self, protocol: Protocol, out: &mut Vec<u8>) {
         out.extend_from_slice(b"\r\n");
-        for part in [&self.note, &self.load] {
-            match (part.is_empty(), protocol) {
-                (false, _) => bulk(part, out),
+        for text in [&self.note, &self.load] {
+            match (text.is_empty(), protocol) {
+                (false, _) => write_bulk_string(text, out),
                 (true, Protocol::Two) => out.extend_from_slice(b"$-1\r\n"),
                 (true, Protocol::Three) => out.extend_from_slice(b"_\r\n"),
             }
@@ -126,47 +127,45 @@
     }
 }
 
-fn line(text: &[u8], out: &mut Vec<u8>) {
+fn write_bulk_string(text: &[u8], out: &mut Vec<u8>) {
+    // Writing to a vector cannot fail.
+    let _ = write!(out, "${}\r\n", text.len());
     out.extend_from_slice(text);
     out.extend_from_slice(b"\r\n");
 }
 
-pub(crate) fn bulk(text: &[u8], out: &mut Vec<u8>) {
-    let _ = write!(out, "${}\r\n", text.len());
-    line(text, out);
-}
-
 #[derive(Clone, Copy, Debug)]
 enum ReplyState {
     Type,
-    Count(Number),
-    Length(Number),
+    Count(LengthParser),
+    Length(LengthParser),
     Line { cr: bool },
     Body(usize),
     Cr,
     Lf,
 }
 
-/// Parses the replies on a connection to a cache node: an array of value, note and load report, or an error
-/// line.
+/// Parses the RESP2 replies on a connection to a cache node: an array of value, note and load report, or an
+/// error line.
 ///
-/// Guards against replies that came to harm on their way or in the node: whatever does not have just this
-/// shape is no reply, and nothing after it on the connection can be trusted. Danger: taken loosely, noise or
-/// the tail of another reply could pass for the value that was asked for. A node that one day tells more in
-/// its replies would be refused here altogether.
+/// Any other reply is a protocol error, after which nothing on the connection can be trusted: a lenient
+/// parser could take noise or the tail of another reply for the requested value. For the same reason, replies
+/// with elements that a later version of the node adds are refused.
 #[derive(Debug)]
 pub struct ReplyParser {
     state: ReplyState,
-    /// Number of the element at hand and of all; an error line has one.
+    /// The index of the current element.
     element: i64,
+    /// The number of elements; an error line counts as one.
     elements: i64,
     array: bool,
-    /// Bytes of the reply so far.
+    /// Bytes of the reply that have been taken.
     taken: usize,
+    /// The current line, note or load report.
     line: Vec<u8>,
     reply: Reply,
-    /// A value that is handed on in parts: what of it has not been taken, and whether its reply is whole.
-    long: Option<Box<ReplyPart>>,
+    /// While a streamed value is read: the part of it that has not been passed on.
+    streamed: Option<Box<ReplyPart>>,
 }
 
 impl Default for ReplyParser {
@@ -179,49 +178,51 @@
             taken: 0,
             line: Vec::new(),
             reply: Reply::default(),
-            long: None,
+            streamed: None,
         }
     }
 }
 
 impl ReplyParser {
-    /// True if a reply has begun and not ended.
+    /// True if the input so far ends within a reply.
     pub fn in_progress(&self) -> bool {
         self.array || !matches!(self.state, ReplyState::Type)
     }
 
-    /// The part of a long value that the last input brought; call it after each [`ReplyParser::feed`].
-    pub fn take_part(&mut self, whole: Option<&Reply>) -> Option<ReplyPart> {
-        let long = self.long.as_mut()?;
-        let part = ReplyPart { tail: whole.cloned(), ..std::mem::take(&mut **long) };
-        if whole.is_some() {
-            self.long = None;
+    /// The part of a streamed value in the last input, to be called after each [`ReplyParser::feed`] with the
+    /// reply that it returned.
+    pub fn take_part(&mut self, reply: Option<&Reply>) -> Option<ReplyPart> {
+        let streamed = self.streamed.as_mut()?;
+        let part = ReplyPart { tail: reply.cloned(), ..std::mem::take(&mut **streamed) };
+        if reply.is_some() {
+            self.streamed = None;
         }
         Some(part)
     }
 
-    /// Takes input until a reply ends or there is no more; tells how much it took, and the reply once it is
-    /// whole. The bytes of a long value are not the caller's to keep: they come as parts.
+    /// Takes input up to the end of a reply; returns the number of bytes taken, and the reply once it is
+    /// complete. The caller need not keep the bytes of a streamed value: [`ReplyParser::take_part`] returns
+    /// them.
     pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Reply>), ProtocolError> {
         let (mut at, before) = (0, self.taken);
         while at < input.len() {
-            if let ReplyState::Body(left) = &mut self.state {
-                let part = &input[at..input.len().min(at + *left)];
+            if let ReplyState::Body(remaining) = &mut self.state {
+                let part = &input[at..input.len().min(at + *remaining)];
                 if self.element > 0 {
                     self.line.extend_from_slice(part);
-                } else if let Some(long) = &mut self.long {
-                    long.bytes.extend_from_slice(part);
+                } else if let Some(streamed) = &mut self.streamed {
+                    streamed.bytes.extend_from_slice(part);
                 }
                 at += part.len();
-                *left -= part.len();
-                if *left == 0 {
+                *remaining -= part.len();
+                if *remaining == 0 {
                     self.state = ReplyState::Cr;
                 }
                 continue;
             }
             let byte = input[at];
             at += 1;
-            if let Some(reply) = self.byte(byte, before + at)? {
+            if let Some(reply) = self.push_byte(byte, before + at)? {
                 return Ok((at, Some(reply)));
             }
         }
@@ -229,36 +230,36 @@
         Ok((at, None))
     }
 
-    /// Takes a byte outside of a value; so many of the reply's are taken with it.
-    fn byte(&mut self, byte: u8, taken: usize) -> Result<Option<Reply>, ProtocolError> {
+    /// Takes a byte outside of a body; `taken` counts the bytes of the reply up to and including it.
+    fn push_byte(&mut self, byte: u8, taken: usize) -> Result<Option<Reply>, ProtocolError> {
         match &mut self.state {
             ReplyState::Type => {
                 self.state = match (byte, self.array, self.element) {
-                    (b'*', false, _) => ReplyState::Count(Number::default()),
-                    (b'$', true, _) => ReplyState::Length(Number::default()),
-                    // Notes and load reports may be plain lines.
+                    (b'*', false, _) => ReplyState::Count(LengthParser::default()),
+                    (b'$', true, _) => ReplyState::Length(LengthParser::default()),
+                    // Notes and load reports may be simple strings.
                     (b'-', false, _) | (b'+', true, 1..) => ReplyState::Line { cr: false },
-                    _ => return Err(ProtocolError("unknown type of reply")),
+                    _ => return Err(ProtocolError("unexpected type byte in a reply")),
                 };
                 self.line.clear();
             }
-            ReplyState::Count(number) => match number.push(byte)? {
+            ReplyState::Count(parser) => match parser.push(byte)? {
                 None => {}
-                // A null array, or an empty one, carries no value.
-                Some(-1 | 0) => return Ok(Some(self.end())),
-                Some(ELEMENTS) => {
-                    (self.array, self.elements) = (true, ELEMENTS);
+                // A null array or an empty array has no value.
+                Some(-1 | 0) => return Ok(Some(self.finish())),
+                Some(REPLY_ELEMENTS) => {
+                    (self.array, self.elements) = (true, REPLY_ELEMENTS);
                     self.state = ReplyState::Type;
                 }
                 Some(_) => return Err(ProtocolError("invalid array length")),
             },
-            ReplyState::Length(number) => {
-                let Some(n) = number.push(byte)? else { return Ok(None) };
+            ReplyState::Length(parser) => {
+                let Some(n) = parser.push(byte)? else { return Ok(None) };
                 if n == -1 {
-                    return Ok(self.next());
+                    return Ok(self.finish_element());
                 }
-                let most = if self.element == 0 { MAX_STREAMED_VALUE_BYTES } else { MAX_LINE };
-                let length = usize::try_from(n).ok().filter(|n| *n <= most);
+                let max = if self.element == 0 { MAX_STREAMED_VALUE_BYTES } else { MAX_LINE_BYTES };
+                let length = usize::try_from(n).ok().filter(|n| *n <= max);
                 let length = length.ok_or(ProtocolError("invalid bulk length"))?;
                 self.state = if length == 0 { ReplyState::Cr } else { ReplyState::Body(length) };
                 if self.element == 0 {
@@ -266,7 +267,7 @@
                     if length > MAX_BUFFERED_VALUE_BYTES {
                         self.reply.shape = BodyFormat::BlobString;
                         let head = Some((BodyFormat::BlobString, length));
-                        self.long = Some(Box::new(ReplyPart { head, ..ReplyPart::default() }));
+                        self.streamed = Some(Box::new(ReplyPart { head, ..ReplyPart::default() }));
                     } else {
                         self.reply.value = taken..taken + length;
                     }
@@ -274,25 +275,25 @@
             }
             ReplyState::Line { cr } if !*cr => match byte {
                 b'\r' => *cr = true,
-                0..=31 | 127.. => return Err(ProtocolError("a line is not text")),
-                _ if self.line.len() < MAX_LINE => self.line.push(byte),
+                0..=31 | 127.. => return Err(ProtocolError("line contains unprintable bytes")),
+                _ if self.line.len() < MAX_LINE_BYTES => self.line.push(byte),
                 _ => return Err(ProtocolError("line is too long")),
             },
             ReplyState::Line { .. } if byte == b'\n' => {
                 if !self.array {
-                    self.reply.error(&self.line);
+                    self.reply.set_error(&self.line);
                 }
-                return Ok(self.next());
+                return Ok(self.finish_element());
             }
             ReplyState::Cr if byte == b'\r' => self.state = ReplyState::Lf,
-            ReplyState::Lf if byte == b'\n' => return Ok(self.next()),
+            ReplyState::Lf if byte == b'\n' => return Ok(self.finish_element()),
             _ => return Err(ProtocolError("expected a line end")),
         }
         Ok(None)
     }
 
-    /// Ends an element.
-    fn next(&mut self) -> Option<Reply> {
+    /// Ends an element; returns the reply if that was the last one.
+    fn finish_element(&mut self) -> Option<Reply> {
         match self.element {
             1 => self.reply.note = std::mem::take(&mut self.line),
             2 => self.reply.load = std::mem::take(&mut self.line),
@@ -301,16 +302,17 @@
         self.line.clear();
         self.element += 1;
         if self.element >= self.elements {
-            return Some(self.end());
+            return Some(self.finish());
         }
         self.state = ReplyState::Type;
         None
     }
 
-    fn end(&mut self) -> Reply {
+    /// Returns the reply and resets the parser for the next one.
+    fn finish(&mut self) -> Reply {
         let line = std::mem::take(&mut self.line);
-        let long = self.long.take();
-        let done = std::mem::replace(self, ReplyParser { line, long, ..ReplyParser::default() });
-        done.reply
+        let streamed = self.streamed.take();
+        let finished = std::mem::replace(self, ReplyParser { line, streamed, ..ReplyParser::default() });
+        finished.reply
     }
 }
--- a/crates/resp/src/three.rs
+++ b/crates/resp/src/resp3.rs
@@ -1,12 +1,14 @@
-//! What a cache node says once it has been greeted with `HELLO 3`: the answer to that, replies in RESP3, pushes.
+//! What a cache node says once it has been greeted with `HELLO 3`: the answer to that, replies in RESP3,
+//! pushes.
 //!
-//! A reply that serves may be an array of value, note and load report as in RESP2, a map that names them, or the
-//! value alone with the rest in an attribute before it. The load report may be a text or a map of its figures.
+//! A reply that serves may be an array of value, note and load report as in RESP2, a map that names them, or
+//! the value alone with the rest in an attribute before it. The load report may be a text or a map of its
+//! figures.
 
 use crate::frame::FrameReader;
 use crate::{
     Aggregate, BlobKind, BodyFormat, Completed, Decoder, Event, Frame, FrameBuilder, Limits, Protocol,
-    ProtocolError, Reply, ReplyKind, ReplyParser, ReplyPart, MAX_BUFFERED_VALUE_BYTES, MAX_LINE,
+    ProtocolError, Reply, ReplyKind, ReplyParser, ReplyPart, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES,
     MAX_STREAMED_VALUE_BYTES,
 };
 
@@ -140,13 +142,15 @@
                     }
                 }
                 Some((Role::Other, _)) | None => {}
-                Some(_) if self.text.len() + bytes.len() <= MAX_LINE => self.text.extend_from_slice(bytes),
+                Some(_) if self.text.len() + bytes.len() <= MAX_LINE_BYTES => {
+                    self.text.extend_from_slice(bytes)
+                }
                 Some(_) => return Err(ProtocolError("line is too long")),
             },
             Event::BlobEnd => {
                 let text = std::mem::take(&mut self.text);
                 match self.blob.take() {
-                    Some((Role::Top, BlobKind::Error)) => self.reply.error(&text),
+                    Some((Role::Top, BlobKind::Error)) => self.reply.set_error(&text),
                     Some((Role::Top | Role::Value, _)) | None => {}
                     Some((role, _)) => self.told(role, &text)?,
                 }
@@ -159,7 +163,7 @@
                 self.told(role, text)?;
             }
             Event::SimpleError(text) => match self.next() {
-                Role::Top => self.reply.error(text),
+                Role::Top => self.reply.set_error(text),
                 role => self.told(role, text)?,
             },
             Event::Integer(n) => {
@@ -219,7 +223,7 @@
                 }
             }
             Role::Column | Role::Figure => {
-                if load.len() + text.len() >= MAX_LINE {
+                if load.len() + text.len() >= MAX_LINE_BYTES {
                     return Err(ProtocolError("line is too long"));
                 }
                 if role == Role::Column && !load.is_empty() {
@@ -370,7 +374,7 @@
         HelloReplyParser(FrameReader::new(Limits {
             max_depth: 8,
             max_elements: 256,
-            max_blob_bytes: MAX_LINE,
+            max_blob_bytes: MAX_LINE_BYTES,
             max_total_bytes: 16 << 10,
         }))
     }
@@ -382,8 +386,8 @@
         self.0.in_progress()
     }
 
-    /// Takes input up to the end of the answer; tells how much it took, and the protocol that is spoken from then
-    /// on. A node that answers an error goes on in RESP2.
+    /// Takes input up to the end of the answer; tells how much it took, and the protocol that is spoken from
+    /// then on. A node that answers an error goes on in RESP2.
     ///
     /// # Errors
     /// It is neither an error nor an answer that names a protocol.
--- a/crates/resp/tests/frames.rs
+++ b/crates/resp/tests/frames.rs
@@ -212,43 +212,49 @@
         let error = read(&[text.as_bytes()], limits).expect_err(why);
         assert_eq!(error.0, why, "{:?}", text.get(..40).unwrap_or(text));
     };
-    refused(&"*1\r\n".repeat(10_000), "nested too deep");
-    refused(&"*?\r\n".repeat(10_000), "nested too deep");
+    refused(&"*1\r\n".repeat(10_000), "aggregates nested too deep");
+    refused(&"*?\r\n".repeat(10_000), "aggregates nested too deep");
     refused("~1152921504606846976\r\n", "invalid number");
-    refused("~65\r\n", "too long");
-    refused(&format!("*?\r\n{}", ":1\r\n".repeat(65)), "too long");
-    refused(&format!("*2\r\n*40\r\n{}*40\r\n", "_\r\n".repeat(40)), "too long");
-    refused("%33\r\n", "too long");
-    refused("|33\r\n", "too long");
+    refused("~65\r\n", "frame exceeds the element or byte limit");
+    refused(&format!("*?\r\n{}", ":1\r\n".repeat(65)), "frame exceeds the element or byte limit");
+    refused(
+        &format!("*2\r\n*40\r\n{}*40\r\n", "_\r\n".repeat(40)),
+        "frame exceeds the element or byte limit",
+    );
+    refused("%33\r\n", "frame exceeds the element or byte limit");
+    refused("|33\r\n", "frame exceeds the element or byte limit");
     refused("$513\r\n", "invalid bulk length");
     refused(&format!("$?\r\n{}", ";9\r\n123456789\r\n".repeat(60)), "invalid bulk length");
-    refused(&format!("*3\r\n{}", format!("$512\r\n{}\r\n", "x".repeat(512)).repeat(3)), "too long");
+    refused(
+        &format!("*3\r\n{}", format!("$512\r\n{}\r\n", "x".repeat(512)).repeat(3)),
+        "frame exceeds the element or byte limit",
+    );
     refused(&format!(",{}\r\n", "1".repeat(1 << 20)), "line is too long");
     refused(&format!("+{}", "x".repeat(2_000)), "line is too long");
-    refused("%?\r\n+a\r\n.\r\n", "a key without a value");
-    refused("*?\r\n|0\r\n.\r\n", "nothing to end");
-    refused(">1\r\n>1\r\n", "a push within a push");
-    refused(">0\r\n", "an empty push");
+    refused("%?\r\n+a\r\n.\r\n", "map key without a value");
+    refused("*?\r\n|0\r\n.\r\n", "unexpected end marker");
+    refused(">1\r\n>1\r\n", "push within a push");
+    refused(">0\r\n", "empty push");
     refused(">?\r\n", "invalid number");
     refused("$?\r\n+x\r\n", "expected a chunk");
-    refused(".\r\n", "nothing to end");
+    refused(".\r\n", "unexpected end marker");
     refused("#x\r\n", "invalid boolean");
     refused("_x\r\n", "line is too long");
     refused(",infinity\r\n", "invalid double");
     refused(",.5\r\n", "invalid double");
     refused("(12a\r\n", "invalid big number");
     refused(":9223372036854775808\r\n", "invalid number");
-    refused("=3\r\ntxt\r\n", "a verbatim string has no format");
-    refused("=5\r\ntxt-x\r\n", "a verbatim string has no format");
+    refused("=3\r\ntxt\r\n", "verbatim string without a format");
+    refused("=5\r\ntxt-x\r\n", "verbatim string without a format");
     refused("%-1\r\n", "invalid length");
     refused("+a\nb\r\n", "expected a line end");
-    refused("@1\r\n", "unknown type");
+    refused("@1\r\n", "unknown type byte");
     // What a push spends is its own, and what was spent around it is not forgotten.
     let push = format!(">1\r\n$512\r\n{}\r\n", "x".repeat(512));
     let blob = format!("$512\r\n{}\r\n", "x".repeat(512));
     let fits = format!("*3\r\n{blob}{push}{blob}{push}_\r\n");
     assert_eq!(read(&[fits.as_bytes()], limits).map(|all| all.len()), Ok(3));
-    refused(&format!("*3\r\n{blob}{push}{blob}{push}{blob}"), "too long");
+    refused(&format!("*3\r\n{blob}{push}{blob}{push}{blob}"), "frame exceeds the element or byte limit");
 }
 
 // ---- replies ----
