--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -52,14 +52,14 @@
     pub(crate) fn forward_part(&mut self, id: RequestId, bytes: &[u8]) {
         let Some(value) = self.streamed_values.0.get(&id) else { return };
         if !self.clients.pass(value.slot, bytes) {
-            self.boxes.pause(value.connection, id, true, self.event_loop.now);
+            self.boxes.set_paused(value.connection, id, true, self.event_loop.now);
         }
     }
 
     /// Resumes reading from the node once the client can take more.
     pub(crate) fn resume_stream(&mut self, id: RequestId) {
         if let Some(value) = self.streamed_values.0.get(&id) {
-            self.boxes.pause(value.connection, id, false, self.event_loop.now);
+            self.boxes.set_paused(value.connection, id, false, self.event_loop.now);
         }
     }
 
@@ -81,6 +81,6 @@
     pub(crate) fn cancel_stream(&mut self, id: RequestId) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.notify(Notification::Abandoned);
-        self.boxes.stop_passing(value.connection, id);
+        self.boxes.stop_streaming(value.connection, id);
     }
 }
