--- a/crates/resp/src/frame.rs
+++ b/crates/resp/src/frame.rs
@@ -1,47 +1,48 @@
-//! Frames as trees: built from events, and written in either protocol. For what is rare or small: greetings,
-//! pushes, stand-ins. Depth and size are the decoder's to bound; nothing here recurses.
+//! Frames as trees: built from the decoder's events, and written in either protocol. They are meant for what
+//! is rare or small: replies to `HELLO`, pushes and test servers. The decoder limits their depth and size;
+//! nothing here recurses.
 
 use crate::{Aggregate, BlobKind, Completed, Decoder, Event, Limits, Protocol, ProtocolError};
 use std::io::Write;
 
-/// A frame. Streamed forms are put together.
+/// A frame. Streamed strings and aggregates are assembled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// Nothing.
+    /// Null.
     Null,
-    /// True or false.
+    /// A boolean.
     Boolean(bool),
     /// An integer.
     Integer(i64),
     /// A double.
     Double(f64),
-    /// An integer of any size, as its digits.
+    /// The digits of a big number.
     BigNumber(Vec<u8>),
-    /// A line.
+    /// A simple string.
     SimpleString(Vec<u8>),
-    /// An error line.
+    /// A simple error.
     SimpleError(Vec<u8>),
-    /// Bytes, an error, or a text with its format.
+    /// A blob string, a blob error or a verbatim string.
     Blob(BlobKind, Vec<u8>),
-    /// In order.
+    /// An ordered collection.
     Array(Vec<Frame>),
-    /// In no order.
+    /// An unordered collection.
     Set(Vec<Frame>),
-    /// Keys and values.
+    /// Pairs of a key and a value.
     Map(Vec<(Frame, Frame)>),
-    /// What nobody asked for.
+    /// Out-of-band data.
     Push(Vec<Frame>),
-    /// What is told of a value, and the value.
+    /// The attributes of a value, and the value.
     Attribute(Vec<(Frame, Frame)>, Box<Frame>),
 }
 
 impl Frame {
-    /// A bulk string.
+    /// A blob string, which RESP2 calls a bulk string.
     pub fn bulk_string(bytes: impl AsRef<[u8]>) -> Frame {
         Frame::Blob(BlobKind::String, bytes.as_ref().to_vec())
     }
 
-    /// The bytes of a string of any kind, errors not counted.
+    /// The bytes of a simple, blob or verbatim string; `None` for other types, errors included.
     pub fn bytes(&self) -> Option<&[u8]> {
         match self {
             Frame::SimpleString(text) | Frame::Blob(BlobKind::String | BlobKind::Verbatim(_), text) => {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The text of an error of either kind.
+    /// The text of a simple or blob error.
     pub fn error(&self) -> Option<&[u8]> {
         match self {
             Frame::SimpleError(text) | Frame::Blob(BlobKind::Error, text) => Some(text),
@@ -59,52 +60,59 @@
         }
     }
 
-    /// The value under a key of a map, or of an array of keys and values in turn, as RESP2 has maps.
+    /// The value under a key of a map, or of an array of alternating keys and values, which is RESP2's form
+    /// of a map.
     pub fn get(&self, key: &str) -> Option<&Frame> {
-        let is = |frame: &Frame| frame.bytes() == Some(key.as_bytes());
+        let is_key = |frame: &Frame| frame.bytes() == Some(key.as_bytes());
         match self {
-            Frame::Map(pairs) => pairs.iter().find(|(k, _)| is(k)).map(|(_, value)| value),
-            Frame::Array(all) => all.chunks_exact(2).find(|pair| is(&pair[0])).map(|pair| &pair[1]),
+            Frame::Map(pairs) => pairs.iter().find(|(k, _)| is_key(k)).map(|(_, value)| value),
+            Frame::Array(elements) => {
+                elements.chunks_exact(2).find(|pair| is_key(&pair[0])).map(|pair| &pair[1])
+            }
             _ => None,
         }
     }
 
-    /// Writes it. RESP2 gets what Redis has for the types that it lacks: null as a null string, booleans as 1
-    /// and 0, doubles, big numbers and verbatim strings as bulk strings, a blob error as a line, maps flat,
-    /// sets and pushes as arrays, attributes not at all.
+    /// Writes the frame in `protocol`. The types that RESP2 lacks are converted as in Redis: null to a null
+    /// bulk string, booleans to the integers 1 and 0, doubles, big numbers and verbatim strings to bulk
+    /// strings, blob errors to simple errors, and maps, sets and pushes to arrays; attributes are left out.
     pub fn write(&self, protocol: Protocol, out: &mut Vec<u8>) {
-        let three = protocol == Protocol::Three;
-        let mut left = vec![self];
-        while let Some(frame) = left.pop() {
+        let resp3 = protocol == Protocol::Three;
+        let mut pending = vec![self];
+        while let Some(frame) = pending.pop() {
             match frame {
-                Frame::Null => out.extend_from_slice(if three { b"_\r\n" } else { b"$-1\r\n" }),
-                Frame::Boolean(b) if three => line(b'#', if *b { b"t" } else { b"f" }, out),
-                Frame::Boolean(b) => line(b':', if *b { b"1" } else { b"0" }, out),
-                Frame::Integer(n) => line(b':', n.to_string().as_bytes(), out),
-                Frame::Double(d) if three => line(b',', number(*d).as_bytes(), out),
-                Frame::Double(d) => blob(b'$', &[], number(*d).as_bytes(), out),
-                Frame::BigNumber(digits) if three => line(b'(', digits, out),
-                Frame::BigNumber(digits) => blob(b'$', &[], digits, out),
-                Frame::SimpleString(text) => line(b'+', text, out),
-                Frame::SimpleError(text) => line(b'-', text, out),
-                Frame::Blob(BlobKind::Error, text) if three => blob(b'!', &[], text, out),
+                Frame::Null => out.extend_from_slice(if resp3 { b"_\r\n" } else { b"$-1\r\n" }),
+                Frame::Boolean(b) if resp3 => write_line(b'#', if *b { b"t" } else { b"f" }, out),
+                Frame::Boolean(b) => write_line(b':', if *b { b"1" } else { b"0" }, out),
+                Frame::Integer(n) => write_line(b':', n.to_string().as_bytes(), out),
+                Frame::Double(d) if resp3 => write_line(b',', format_double(*d).as_bytes(), out),
+                Frame::Double(d) => write_blob(b'$', &[], format_double(*d).as_bytes(), out),
+                Frame::BigNumber(digits) if resp3 => write_line(b'(', digits, out),
+                Frame::BigNumber(digits) => write_blob(b'$', &[], digits, out),
+                Frame::SimpleString(text) => write_line(b'+', text, out),
+                Frame::SimpleError(text) => write_line(b'-', text, out),
+                Frame::Blob(BlobKind::Error, text) if resp3 => write_blob(b'!', &[], text, out),
                 Frame::Blob(BlobKind::Error, text) => {
-                    let flat = |b: &u8| if matches!(b, b'\r' | b'\n') { b' ' } else { *b };
-                    line(b'-', &text.iter().map(flat).collect::<Vec<u8>>(), out);
+                    let without_line_ends = |b: &u8| if matches!(b, b'\r' | b'\n') { b' ' } else { *b };
+                    write_line(b'-', &text.iter().map(without_line_ends).collect::<Vec<u8>>(), out);
+                }
+                Frame::Blob(BlobKind::Verbatim([a, b, c]), text) if resp3 => {
+                    write_blob(b'=', &[*a, *b, *c, b':'], text, out);
+                }
+                Frame::Blob(_, text) => write_blob(b'$', &[], text, out),
+                Frame::Array(elements) => write_elements(b'*', elements, &mut pending, out),
+                Frame::Set(elements) => {
+                    write_elements(if resp3 { b'~' } else { b'*' }, elements, &mut pending, out)
                 }
-                Frame::Blob(BlobKind::Verbatim([a, b, c]), text) if three => {
-                    blob(b'=', &[*a, *b, *c, b':'], text, out);
+                Frame::Push(elements) => {
+                    write_elements(if resp3 { b'>' } else { b'*' }, elements, &mut pending, out)
                 }
-                Frame::Blob(_, text) => blob(b'$', &[], text, out),
-                Frame::Array(all) => group(b'*', all, &mut left, out),
-                Frame::Set(all) => group(if three { b'~' } else { b'*' }, all, &mut left, out),
-                Frame::Push(all) => group(if three { b'>' } else { b'*' }, all, &mut left, out),
-                Frame::Map(pairs) if three => map(b'%', pairs.len(), pairs, &mut left, out),
-                Frame::Map(pairs) => map(b'*', 2 * pairs.len(), pairs, &mut left, out),
+                Frame::Map(pairs) if resp3 => write_pairs(b'%', pairs.len(), pairs, &mut pending, out),
+                Frame::Map(pairs) => write_pairs(b'*', 2 * pairs.len(), pairs, &mut pending, out),
                 Frame::Attribute(pairs, value) => {
-                    left.push(value);
-                    if three {
-                        map(b'|', pairs.len(), pairs, &mut left, out);
+                    pending.push(value);
+                    if resp3 {
+                        write_pairs(b'|', pairs.len(), pairs, &mut pending, out);
                     }
                 }
             }
@@ -112,8 +120,8 @@
     }
 }
 
-/// A double in digits that read back as the same.
-fn number(d: f64) -> String {
+/// A text that parses to the same double.
+fn format_double(d: f64) -> String {
     match d {
         _ if d.is_nan() => "nan".into(),
         _ if d.is_infinite() => if d > 0.0 { "inf" } else { "-inf" }.into(),
@@ -122,57 +130,61 @@
     }
 }
 
-fn line(sign: u8, text: &[u8], out: &mut Vec<u8>) {
-    out.push(sign);
+fn write_line(type_byte: u8, text: &[u8], out: &mut Vec<u8>) {
+    out.push(type_byte);
     out.extend_from_slice(text);
     out.extend_from_slice(b"\r\n");
 }
 
-fn count(sign: u8, length: usize, out: &mut Vec<u8>) {
+fn write_length(type_byte: u8, length: usize, out: &mut Vec<u8>) {
     // Writing to a vector cannot fail.
-    let _ = write!(out, "{}{length}\r\n", char::from(sign));
+    let _ = write!(out, "{}{length}\r\n", char::from(type_byte));
 }
 
-fn blob(sign: u8, format: &[u8], text: &[u8], out: &mut Vec<u8>) {
-    count(sign, format.len() + text.len(), out);
+fn write_blob(type_byte: u8, format: &[u8], text: &[u8], out: &mut Vec<u8>) {
+    write_length(type_byte, format.len() + text.len(), out);
     out.extend_from_slice(format);
     out.extend_from_slice(text);
     out.extend_from_slice(b"\r\n");
 }
 
-fn group<'a>(sign: u8, all: &'a [Frame], left: &mut Vec<&'a Frame>, out: &mut Vec<u8>) {
-    count(sign, all.len(), out);
-    left.extend(all.iter().rev());
+/// Writes the count of an aggregate, and adds its elements to the pending frames, the first on top.
+fn write_elements<'a>(type_byte: u8, elements: &'a [Frame], pending: &mut Vec<&'a Frame>, out: &mut Vec<u8>) {
+    write_length(type_byte, elements.len(), out);
+    pending.extend(elements.iter().rev());
 }
 
-fn map<'a>(
-    sign: u8,
+/// Writes the count of a map or attribute, and adds its keys and values to the pending frames, the first on
+/// top.
+fn write_pairs<'a>(
+    type_byte: u8,
     length: usize,
     pairs: &'a [(Frame, Frame)],
-    left: &mut Vec<&'a Frame>,
+    pending: &mut Vec<&'a Frame>,
     out: &mut Vec<u8>,
 ) {
-    count(sign, length, out);
-    left.extend(pairs.iter().rev().flat_map(|(key, value)| [value, key]));
+    write_length(type_byte, length, out);
+    pending.extend(pairs.iter().rev().flat_map(|(key, value)| [value, key]));
 }
 
+/// A frame that is not complete.
 #[derive(Debug)]
 enum OpenFrame {
     Aggregate(Aggregate, Vec<Frame>),
     Blob(BlobKind, Vec<u8>),
-    /// A whole attribute, before its value.
-    Told(Vec<(Frame, Frame)>),
+    /// Complete attributes whose value has not been read.
+    Attributed(Vec<(Frame, Frame)>),
 }
 
-/// Puts events together.
+/// Builds frames from the events of a [`Decoder`].
 #[derive(Debug, Default)]
 pub struct FrameBuilder {
-    parts: Vec<OpenFrame>,
+    stack: Vec<OpenFrame>,
 }
 
 impl FrameBuilder {
-    /// Takes an event; the frame that it made whole, if that is an element of nothing: one at the top, or a
-    /// push.
+    /// Takes the next event; returns the frame that it completed, if that is a push or stands at the top
+    /// level.
     pub fn add_event(&mut self, event: Event<'_>) -> Option<Frame> {
         let frame = match event {
             Event::Null => Frame::Null,
@@ -182,50 +194,51 @@
             Event::BigNumber(digits) => Frame::BigNumber(digits.to_vec()),
             Event::SimpleString(text) => Frame::SimpleString(text.to_vec()),
             Event::SimpleError(text) => Frame::SimpleError(text.to_vec()),
-            Event::BlobBegin(blob, length) => {
-                self.parts.push(OpenFrame::Blob(blob, Vec::with_capacity(length)));
+            Event::BlobBegin(kind, length) => {
+                self.stack.push(OpenFrame::Blob(kind, Vec::with_capacity(length)));
                 return None;
             }
             Event::BlobBytes(bytes) => {
-                if let Some(OpenFrame::Blob(_, text)) = self.parts.last_mut() {
+                if let Some(OpenFrame::Blob(_, text)) = self.stack.last_mut() {
                     text.extend_from_slice(bytes);
                 }
                 return None;
             }
-            Event::AggregateBegin(group, _) => {
-                self.parts.push(OpenFrame::Aggregate(group, Vec::new()));
+            Event::AggregateBegin(aggregate, _) => {
+                self.stack.push(OpenFrame::Aggregate(aggregate, Vec::new()));
                 return None;
             }
-            Event::BlobEnd => match self.parts.pop() {
-                Some(OpenFrame::Blob(blob, text)) => Frame::Blob(blob, text),
+            Event::BlobEnd => match self.stack.pop() {
+                Some(OpenFrame::Blob(kind, text)) => Frame::Blob(kind, text),
                 _ => return None,
             },
-            Event::AggregateEnd(_) => match self.parts.pop() {
-                Some(OpenFrame::Aggregate(Aggregate::Array, all)) => Frame::Array(all),
-                Some(OpenFrame::Aggregate(Aggregate::Set, all)) => Frame::Set(all),
-                Some(OpenFrame::Aggregate(Aggregate::Map, all)) => Frame::Map(pairs(all)),
-                Some(OpenFrame::Aggregate(Aggregate::Push, all)) => return Some(Frame::Push(all)),
-                Some(OpenFrame::Aggregate(Aggregate::Attribute, all)) => {
-                    // Several before one value are one: nested, they would go as deep as a peer likes.
-                    match self.parts.last_mut() {
-                        Some(OpenFrame::Told(told)) => told.extend(pairs(all)),
-                        _ => self.parts.push(OpenFrame::Told(pairs(all))),
+            Event::AggregateEnd(_) => match self.stack.pop() {
+                Some(OpenFrame::Aggregate(Aggregate::Array, elements)) => Frame::Array(elements),
+                Some(OpenFrame::Aggregate(Aggregate::Set, elements)) => Frame::Set(elements),
+                Some(OpenFrame::Aggregate(Aggregate::Map, elements)) => Frame::Map(into_pairs(elements)),
+                Some(OpenFrame::Aggregate(Aggregate::Push, elements)) => return Some(Frame::Push(elements)),
+                Some(OpenFrame::Aggregate(Aggregate::Attribute, elements)) => {
+                    // Consecutive attributes are merged: nested in each other, they could make the tree as
+                    // deep as the peer likes, since the decoder's limit on the depth does not count them.
+                    match self.stack.last_mut() {
+                        Some(OpenFrame::Attributed(attributes)) => attributes.extend(into_pairs(elements)),
+                        _ => self.stack.push(OpenFrame::Attributed(into_pairs(elements))),
                     }
                     return None;
                 }
                 _ => return None,
             },
         };
-        let frame = match self.parts.pop() {
-            Some(OpenFrame::Told(told)) => Frame::Attribute(told, Box::new(frame)),
-            part => {
-                self.parts.extend(part);
+        let frame = match self.stack.pop() {
+            Some(OpenFrame::Attributed(attributes)) => Frame::Attribute(attributes, Box::new(frame)),
+            other => {
+                self.stack.extend(other);
                 frame
             }
         };
-        match self.parts.last_mut() {
-            Some(OpenFrame::Aggregate(_, all)) => {
-                all.push(frame);
+        match self.stack.last_mut() {
+            Some(OpenFrame::Aggregate(_, elements)) => {
+                elements.push(frame);
                 None
             }
             _ => Some(frame),
@@ -233,12 +246,13 @@
     }
 }
 
-fn pairs(all: Vec<Frame>) -> Vec<(Frame, Frame)> {
-    let mut all = all.into_iter();
-    std::iter::from_fn(|| Some((all.next()?, all.next()?))).collect()
+/// Pairs up alternating keys and values.
+fn into_pairs(elements: Vec<Frame>) -> Vec<(Frame, Frame)> {
+    let mut elements = elements.into_iter();
+    std::iter::from_fn(|| Some((elements.next()?, elements.next()?))).collect()
 }
 
-/// Reads frames as trees.
+/// Parses frames into trees.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     decoder: Decoder,
@@ -246,28 +260,28 @@
 }
 
 impl FrameReader {
-    /// A reader at the start of a connection.
+    /// A reader for a new connection.
     pub fn new(limits: Limits) -> Self {
         FrameReader { decoder: Decoder::new(limits), builder: FrameBuilder::default() }
     }
 
-    /// True if a frame has begun and not ended.
+    /// True if the input so far ends within a frame.
     pub fn in_progress(&self) -> bool {
         self.decoder.in_progress()
     }
 
-    /// Takes input up to the end of a frame or of a push; tells how much it took, and the frame.
+    /// Takes input up to the end of a frame or of a push; returns the number of bytes taken, and the frame.
     ///
     /// # Errors
-    /// The input is not the protocol's, or goes past a limit. Nothing can be understood after it.
+    /// The input is not valid or exceeds a limit. Nothing after it can be parsed.
     pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Frame>), ProtocolError> {
-        let mut whole = None;
+        let mut frame = None;
         let builder = &mut self.builder;
-        let (used, end) = self.decoder.feed(input, |event| {
-            whole = builder.add_event(event).or(whole.take());
+        let (used, completed) = self.decoder.feed(input, |event| {
+            frame = builder.add_event(event).or(frame.take());
             Ok(())
         })?;
-        debug_assert_eq!(matches!(end, Some(Completed::Push)), matches!(whole, Some(Frame::Push(_))));
-        Ok((used, whole))
+        debug_assert_eq!(matches!(completed, Some(Completed::Push)), matches!(frame, Some(Frame::Push(_))));
+        Ok((used, frame))
     }
 }
--- a/crates/resp/src/resp3.rs
+++ b/crates/resp/src/resp3.rs
@@ -1,9 +1,9 @@
-//! What a cache node says once it has been greeted with `HELLO 3`: the answer to that, replies in RESP3,
-//! pushes.
+//! Parsers for a connection on which `HELLO 3` has been sent: the reply to it, and the replies and pushes in
+//! RESP3.
 //!
-//! A reply that serves may be an array of value, note and load report as in RESP2, a map that names them, or
-//! the value alone with the rest in an attribute before it. The load report may be a text or a map of its
-//! figures.
+//! A successful reply may be an array of value, note and load report as in RESP2, a map with these keys, or
+//! the value alone with the rest in an attribute before it. The load report may be a string or a map of
+//! metrics.
 
 use crate::frame::FrameReader;
 use crate::{
@@ -12,18 +12,18 @@
     MAX_STREAMED_VALUE_BYTES,
 };
 
-/// Something that a cache node said.
+/// What a server sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerMessage {
-    /// A reply, and in RESP3 its value; in RESP2 its bytes are those that were taken.
+    /// A reply, and in RESP3 its value. In RESP2 the bytes of the reply are those that were taken.
     Reply(Reply, Vec<u8>),
-    /// A part of a reply whose value is long.
+    /// A part of a reply with a streamed value.
     Part(ReplyPart),
-    /// A push: its kind and what it tells.
+    /// The elements of a push, the first of which is its kind.
     Push(Vec<Frame>),
 }
 
-/// What the value that comes next is.
+/// The meaning of a frame within a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// The whole reply.
@@ -31,226 +31,240 @@
     Value,
     Note,
     Load,
-    /// A key, of a reply or of an attribute.
+    /// A key of a reply or of an attribute.
     Key,
-    /// A key of a load report, and the figure under it.
-    Column,
-    Figure,
-    /// Nothing that is looked at.
+    /// The name of a metric in a load report.
+    MetricName,
+    /// The value of a metric in a load report.
+    MetricValue,
+    /// Anything that is ignored.
     Other,
 }
 
-/// A group of a reply, as far as it is understood.
+/// The meaning of an open aggregate.
 #[derive(Clone, Copy, Debug)]
-enum Within {
-    /// Value, note and load report in this order; this one comes next.
-    Row(usize),
-    /// The same under their names; the role of the value that comes next, once its key is known. An attribute
-    /// names no value.
-    Named {
+enum Context {
+    /// An array of value, note and load report, and the index of the next element.
+    Positional(usize),
+    /// A map or attribute with the same under their names.
+    Keyed {
+        /// The role of the next frame, if that is a value and not a key.
         next: Option<Role>,
-        value: bool,
+        /// False in an attribute, which cannot contain the reply's value.
+        accepts_value: bool,
     },
-    /// A load report; a figure comes next.
-    Columns(bool),
+    /// A load report, and whether the value of a metric comes next.
+    LoadMetrics(bool),
     Other,
 }
 
-/// Puts a reply together.
+/// Assembles a reply from the decoder's events.
 #[derive(Debug, Default)]
-struct Reading {
+struct ReplyAssembler {
     reply: Reply,
     value: Vec<u8>,
-    within: Vec<Within>,
-    /// The role of the blob that is being read, its kind, and its bytes where they are not the value's.
+    contexts: Vec<Context>,
+    /// The role and kind of the blob that is being read.
     blob: Option<(Role, BlobKind)>,
+    /// The bytes of that blob, unless it is the reply's value.
     text: Vec<u8>,
-    /// A value that is handed on in parts: what of it has not been.
-    long: Option<ReplyPart>,
+    /// While a streamed value is read: the part of it that has not been passed on.
+    streamed: Option<ReplyPart>,
 }
 
-impl Reading {
-    /// The role of the value that begins now.
-    fn next(&mut self) -> Role {
-        match self.within.last_mut() {
+impl ReplyAssembler {
+    /// The role of the frame that starts now.
+    fn next_role(&mut self) -> Role {
+        match self.contexts.last_mut() {
             None => Role::Top,
-            Some(Within::Row(i)) => {
-                *i += 1;
-                [Role::Value, Role::Note, Role::Load].get(*i - 1).copied().unwrap_or(Role::Other)
+            Some(Context::Positional(index)) => {
+                *index += 1;
+                [Role::Value, Role::Note, Role::Load].get(*index - 1).copied().unwrap_or(Role::Other)
             }
-            Some(Within::Named { next, .. }) => next.take().unwrap_or(Role::Key),
-            Some(Within::Columns(figure)) => {
-                *figure = !*figure;
-                if *figure {
-                    Role::Column
+            Some(Context::Keyed { next, .. }) => next.take().unwrap_or(Role::Key),
+            Some(Context::LoadMetrics(value_next)) => {
+                *value_next = !*value_next;
+                if *value_next {
+                    Role::MetricName
                 } else {
-                    Role::Figure
+                    Role::MetricValue
                 }
             }
-            Some(Within::Other) => Role::Other,
+            Some(Context::Other) => Role::Other,
         }
     }
 
-    fn take(&mut self, event: Event<'_>) -> Result<(), ProtocolError> {
+    fn add_event(&mut self, event: Event<'_>) -> Result<(), ProtocolError> {
         match event {
             Event::AggregateBegin(Aggregate::Attribute, _) => {
-                // Only what is told of the whole reply is looked at.
-                let told = Within::Named { next: None, value: false };
-                self.within.push(if self.within.is_empty() { told } else { Within::Other });
+                // Only the attributes of the whole reply are used.
+                let keyed = Context::Keyed { next: None, accepts_value: false };
+                self.contexts.push(if self.contexts.is_empty() { keyed } else { Context::Other });
             }
-            Event::AggregateBegin(group, _) => {
-                let within = match (self.next(), group) {
-                    (Role::Top, Aggregate::Array) => Within::Row(0),
-                    (Role::Top, Aggregate::Map) => Within::Named { next: None, value: true },
+            Event::AggregateBegin(aggregate, _) => {
+                let context = match (self.next_role(), aggregate) {
+                    (Role::Top, Aggregate::Array) => Context::Positional(0),
+                    (Role::Top, Aggregate::Map) => Context::Keyed { next: None, accepts_value: true },
                     (Role::Load, Aggregate::Map) => {
                         self.reply.load.clear();
-                        Within::Columns(false)
+                        Context::LoadMetrics(false)
                     }
-                    _ => Within::Other,
+                    _ => Context::Other,
                 };
-                self.within.push(within);
+                self.contexts.push(context);
             }
             Event::AggregateEnd(_) => {
-                self.within.pop();
+                self.contexts.pop();
             }
-            Event::BlobBegin(blob, length) => {
-                let role = self.next();
-                self.text.clear();
-                self.blob = Some((role, blob));
-                if matches!(role, Role::Top | Role::Value) && blob != BlobKind::Error {
-                    let shape = match blob {
-                        BlobKind::Verbatim(format) => BodyFormat::Verbatim(format),
-                        _ => BodyFormat::BlobString,
-                    };
-                    self.serve(shape)?;
-                    if length > MAX_BUFFERED_VALUE_BYTES {
-                        self.long = Some(ReplyPart { head: Some((shape, length)), ..ReplyPart::default() });
-                    } else {
-                        self.value.reserve_exact(length);
-                    }
-                }
-            }
-            Event::BlobBytes(bytes) => match self.blob {
-                Some((Role::Top | Role::Value, BlobKind::String | BlobKind::Verbatim(_))) => {
-                    match &mut self.long {
-                        Some(long) => long.bytes.extend_from_slice(bytes),
-                        // Danger: a string that does not tell its length first is kept until it is whole.
-                        None if self.value.len() + bytes.len() > MAX_BUFFERED_VALUE_BYTES => {
-                            return Err(ProtocolError("too long"))
-                        }
-                        None => self.value.extend_from_slice(bytes),
-                    }
-                }
-                Some((Role::Other, _)) | None => {}
-                Some(_) if self.text.len() + bytes.len() <= MAX_LINE_BYTES => {
-                    self.text.extend_from_slice(bytes)
-                }
-                Some(_) => return Err(ProtocolError("line is too long")),
-            },
-            Event::BlobEnd => {
-                let text = std::mem::take(&mut self.text);
-                match self.blob.take() {
-                    Some((Role::Top, BlobKind::Error)) => self.reply.set_error(&text),
-                    Some((Role::Top | Role::Value, _)) | None => {}
-                    Some((role, _)) => self.told(role, &text)?,
-                }
-                self.text = text;
-            }
-            Event::Double(_, text) => self.figure(text, BodyFormat::Double)?,
-            Event::BigNumber(text) => self.figure(text, BodyFormat::BigNumber)?,
+            Event::BlobBegin(kind, length) => self.begin_blob(kind, length)?,
+            Event::BlobBytes(bytes) => self.add_blob_bytes(bytes)?,
+            Event::BlobEnd => self.finish_blob()?,
+            Event::Double(_, text) => self.add_number(text, BodyFormat::Double)?,
+            Event::BigNumber(text) => self.add_number(text, BodyFormat::BigNumber)?,
             Event::SimpleString(text) => {
-                let role = self.next();
-                self.told(role, text)?;
+                let role = self.next_role();
+                self.add_text(role, text)?;
             }
-            Event::SimpleError(text) => match self.next() {
+            Event::SimpleError(text) => match self.next_role() {
                 Role::Top => self.reply.set_error(text),
-                role => self.told(role, text)?,
+                role => self.add_text(role, text)?,
             },
             Event::Integer(n) => {
-                let role = self.next();
-                self.told(role, n.to_string().as_bytes())?;
+                let role = self.next_role();
+                self.add_text(role, n.to_string().as_bytes())?;
             }
             Event::Boolean(b) => {
-                let role = self.next();
-                self.told(role, if b { b"1" } else { b"0" })?;
+                let role = self.next_role();
+                self.add_text(role, if b { b"1" } else { b"0" })?;
             }
             Event::Null => {
-                let role = self.next();
-                self.told(role, b"")?;
+                let role = self.next_role();
+                self.add_text(role, b"")?;
+            }
+        }
+        Ok(())
+    }
+
+    fn begin_blob(&mut self, kind: BlobKind, length: usize) -> Result<(), ProtocolError> {
+        let role = self.next_role();
+        self.text.clear();
+        self.blob = Some((role, kind));
+        if matches!(role, Role::Top | Role::Value) && kind != BlobKind::Error {
+            let format = match kind {
+                BlobKind::Verbatim(format) => BodyFormat::Verbatim(format),
+                _ => BodyFormat::BlobString,
+            };
+            self.begin_value(format)?;
+            if length > MAX_BUFFERED_VALUE_BYTES {
+                self.streamed = Some(ReplyPart { head: Some((format, length)), ..ReplyPart::default() });
+            } else {
+                self.value.reserve_exact(length);
             }
         }
         Ok(())
     }
 
-    /// A value begins.
-    fn serve(&mut self, shape: BodyFormat) -> Result<(), ProtocolError> {
+    fn add_blob_bytes(&mut self, bytes: &[u8]) -> Result<(), ProtocolError> {
+        match self.blob {
+            Some((Role::Top | Role::Value, BlobKind::String | BlobKind::Verbatim(_))) => {
+                match &mut self.streamed {
+                    Some(part) => part.bytes.extend_from_slice(bytes),
+                    // A streamed string, whose length is not known in advance, is buffered until it is
+                    // complete. Without this limit it could take any amount of memory.
+                    None if self.value.len() + bytes.len() > MAX_BUFFERED_VALUE_BYTES => {
+                        return Err(ProtocolError("streamed string exceeds the buffered value limit"))
+                    }
+                    None => self.value.extend_from_slice(bytes),
+                }
+            }
+            Some((Role::Other, _)) | None => {}
+            Some(_) if self.text.len() + bytes.len() <= MAX_LINE_BYTES => self.text.extend_from_slice(bytes),
+            Some(_) => return Err(ProtocolError("line is too long")),
+        }
+        Ok(())
+    }
+
+    fn finish_blob(&mut self) -> Result<(), ProtocolError> {
+        let text = std::mem::take(&mut self.text);
+        match self.blob.take() {
+            Some((Role::Top, BlobKind::Error)) => self.reply.set_error(&text),
+            Some((Role::Top | Role::Value, _)) | None => {}
+            Some((role, _)) => self.add_text(role, &text)?,
+        }
+        self.text = text;
+        Ok(())
+    }
+
+    /// Starts the reply's value.
+    fn begin_value(&mut self, format: BodyFormat) -> Result<(), ProtocolError> {
         if std::mem::replace(&mut self.reply.kind, ReplyKind::Served) == ReplyKind::Served {
             return Err(ProtocolError("two values in a reply"));
         }
-        self.reply.shape = shape;
+        self.reply.shape = format;
         Ok(())
     }
 
-    /// A number that may stand for a value.
-    fn figure(&mut self, text: &[u8], shape: BodyFormat) -> Result<(), ProtocolError> {
-        match self.next() {
+    /// Takes a double or big number, which may be the reply's value.
+    fn add_number(&mut self, text: &[u8], format: BodyFormat) -> Result<(), ProtocolError> {
+        match self.next_role() {
             Role::Top | Role::Value => {
-                self.serve(shape)?;
+                self.begin_value(format)?;
                 self.value.extend_from_slice(text);
                 Ok(())
             }
-            role => self.told(role, text),
+            role => self.add_text(role, text),
         }
     }
 
-    /// A short text, whatever its type was.
-    fn told(&mut self, role: Role, text: &[u8]) -> Result<(), ProtocolError> {
+    /// Takes the text of a short frame of any type.
+    fn add_text(&mut self, role: Role, text: &[u8]) -> Result<(), ProtocolError> {
         if role != Role::Other && !text.iter().all(|b| (32..127).contains(b)) {
-            return Err(ProtocolError("a line is not text"));
+            return Err(ProtocolError("line contains unprintable bytes"));
         }
         let load = &mut self.reply.load;
         match role {
             Role::Note => self.reply.note = text.to_vec(),
             Role::Load => *load = text.to_vec(),
             Role::Key => {
-                if let Some(Within::Named { next, value }) = self.within.last_mut() {
+                if let Some(Context::Keyed { next, accepts_value }) = self.contexts.last_mut() {
                     *next = Some(match text {
-                        b"value" | b"receipt" if *value => Role::Value,
+                        b"value" | b"receipt" if *accepts_value => Role::Value,
                         b"note" => Role::Note,
                         b"load" => Role::Load,
                         _ => Role::Other,
                     });
                 }
             }
-            Role::Column | Role::Figure => {
+            Role::MetricName | Role::MetricValue => {
                 if load.len() + text.len() >= MAX_LINE_BYTES {
                     return Err(ProtocolError("line is too long"));
                 }
-                if role == Role::Column && !load.is_empty() {
+                if role == Role::MetricName && !load.is_empty() {
                     load.push(b',');
                 }
                 load.extend_from_slice(text);
-                if role == Role::Column {
+                if role == Role::MetricName {
                     load.push(b'=');
                 }
             }
-            // Whatever else stands in a value's place carries no value.
+            // A frame of another type in place of the value is not a value.
             Role::Top | Role::Value | Role::Other => {}
         }
         Ok(())
     }
 
-    fn end(&mut self) -> ServerMessage {
-        let mut done = std::mem::take(self);
-        done.reply.value = 0..done.value.len();
-        match done.long {
-            Some(part) => ServerMessage::Part(ReplyPart { tail: Some(done.reply), ..part }),
-            None => ServerMessage::Reply(done.reply, done.value),
+    /// Returns the complete reply, or its last part, and resets the assembler.
+    fn finish(&mut self) -> ServerMessage {
+        let mut finished = std::mem::take(self);
+        finished.reply.value = 0..finished.value.len();
+        match finished.streamed {
+            Some(part) => ServerMessage::Part(ReplyPart { tail: Some(finished.reply), ..part }),
+            None => ServerMessage::Reply(finished.reply, finished.value),
         }
     }
 }
 
-/// Reads the replies on a connection to a cache node, in the protocol that it speaks.
+/// Reads the replies on a connection to a server, in the protocol that the server speaks.
 #[derive(Debug)]
 pub enum ReplyReader {
     /// RESP2.
@@ -259,36 +273,36 @@
     Three(Box<Resp3ReplyParser>),
 }
 
-/// Reads replies and pushes in RESP3.
+/// Parses replies and pushes in RESP3.
 #[derive(Debug)]
 pub struct Resp3ReplyParser {
     decoder: Decoder,
-    reading: Reading,
+    reply: ReplyAssembler,
     push: FrameBuilder,
-    pushing: bool,
-    /// Bytes of the push at hand.
-    pushed: usize,
+    in_push: bool,
+    /// Blob bytes of the current push.
+    push_bytes: usize,
 }
 
 impl Default for Resp3ReplyParser {
     fn default() -> Self {
-        let usual = Limits::default();
+        let defaults = Limits::default();
         Resp3ReplyParser {
             decoder: Decoder::new(Limits {
                 max_blob_bytes: MAX_STREAMED_VALUE_BYTES,
-                max_total_bytes: MAX_STREAMED_VALUE_BYTES + usual.max_total_bytes,
-                ..usual
+                max_total_bytes: MAX_STREAMED_VALUE_BYTES + defaults.max_total_bytes,
+                ..defaults
             }),
-            reading: Reading::default(),
+            reply: ReplyAssembler::default(),
             push: FrameBuilder::default(),
-            pushing: false,
-            pushed: 0,
+            in_push: false,
+            push_bytes: 0,
         }
     }
 }
 
 impl ReplyReader {
-    /// A reader between replies.
+    /// A reader that expects the start of a reply.
     pub fn new(protocol: Protocol) -> Self {
         match protocol {
             Protocol::Two => ReplyReader::Two(ReplyParser::default()),
@@ -296,7 +310,7 @@
         }
     }
 
-    /// What it reads.
+    /// The protocol that it reads.
     pub fn protocol(&self) -> Protocol {
         match self {
             ReplyReader::Two(_) => Protocol::Two,
@@ -304,18 +318,19 @@
         }
     }
 
-    /// True if something has begun and not ended.
+    /// True if the input so far ends within a reply or push.
     pub fn in_progress(&self) -> bool {
         match self {
             ReplyReader::Two(parser) => parser.in_progress(),
-            ReplyReader::Three(three) => three.decoder.in_progress(),
+            ReplyReader::Three(parser) => parser.decoder.in_progress(),
         }
     }
 
-    /// Takes input until something ends or there is no more; tells how much it took, and what ended.
+    /// Takes input up to the end of a reply or push; returns the number of bytes taken, and the message that
+    /// they completed or the part of a streamed value in them.
     ///
     /// # Errors
-    /// The node does not speak the protocol, or goes past its bounds; nothing after it can be understood.
+    /// The input is not valid or exceeds a limit. Nothing after it can be parsed.
     pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<ServerMessage>), ProtocolError> {
         match self {
             ReplyReader::Two(parser) => {
@@ -323,49 +338,49 @@
                 let part = parser.take_part(reply.as_ref()).map(ServerMessage::Part);
                 Ok((used, part.or(reply.map(|reply| ServerMessage::Reply(reply, Vec::new())))))
             }
-            ReplyReader::Three(three) => three.feed(input),
+            ReplyReader::Three(parser) => parser.feed(input),
         }
     }
 }
 
 impl Resp3ReplyParser {
     fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<ServerMessage>), ProtocolError> {
-        let Resp3ReplyParser { decoder, reading, push, pushing, pushed: kept } = self;
-        let mut pushed = None;
-        let (used, whole) = decoder.feed(input, |event| {
-            *pushing |= matches!(event, Event::AggregateBegin(Aggregate::Push, _));
-            if *pushing {
-                // What nobody asked for is kept whole, so it may not be long.
+        let Resp3ReplyParser { decoder, reply, push, in_push, push_bytes } = self;
+        let mut finished_push = None;
+        let (used, completed) = decoder.feed(input, |event| {
+            *in_push |= matches!(event, Event::AggregateBegin(Aggregate::Push, _));
+            if *in_push {
+                // A push is unsolicited and buffered whole, so a lower limit holds for it than for a reply.
                 if let Event::BlobBytes(bytes) = event {
-                    *kept += bytes.len();
-                    if *kept > Limits::default().max_total_bytes {
-                        return Err(ProtocolError("too long"));
+                    *push_bytes += bytes.len();
+                    if *push_bytes > Limits::default().max_total_bytes {
+                        return Err(ProtocolError("push exceeds the byte limit"));
                     }
                 }
-                pushed = push.add_event(event).or(pushed.take());
+                finished_push = push.add_event(event).or(finished_push.take());
                 return Ok(());
             }
-            reading.take(event)
+            reply.add_event(event)
         })?;
-        let item = match whole {
-            None => reading.long.as_mut().map(|long| ServerMessage::Part(std::mem::take(long))),
-            Some(Completed::Frame) => Some(reading.end()),
+        let message = match completed {
+            None => reply.streamed.as_mut().map(|part| ServerMessage::Part(std::mem::take(part))),
+            Some(Completed::Frame) => Some(reply.finish()),
             Some(Completed::Push) => {
-                (*pushing, *kept) = (false, 0);
-                match pushed {
-                    Some(Frame::Push(told)) => Some(ServerMessage::Push(told)),
+                (*in_push, *push_bytes) = (false, 0);
+                match finished_push {
+                    Some(Frame::Push(elements)) => Some(ServerMessage::Push(elements)),
                     _ => None,
                 }
             }
         };
-        Ok((used, item))
+        Ok((used, message))
     }
 }
 
-/// How a node answered `HELLO 3`: the protocol that is spoken from then on, or the error that refuses it.
+/// The server's answer to `HELLO 3`: the protocol that it speaks from then on, or the text of its error.
 pub type HelloOutcome = Result<Protocol, Vec<u8>>;
 
-/// Reads the answer to `HELLO 3`.
+/// Parses the reply to `HELLO 3`.
 #[derive(Debug)]
 pub struct HelloReplyParser(FrameReader);
 
@@ -381,16 +396,16 @@
 }
 
 impl HelloReplyParser {
-    /// True if the answer has begun.
+    /// True if the input so far ends within a frame.
     pub fn in_progress(&self) -> bool {
         self.0.in_progress()
     }
 
-    /// Takes input up to the end of the answer; tells how much it took, and the protocol that is spoken from
-    /// then on. A node that answers an error goes on in RESP2.
+    /// Takes input up to the end of the reply; returns the number of bytes taken, and the outcome. A server
+    /// that replies with an error continues in RESP2.
     ///
     /// # Errors
-    /// It is neither an error nor an answer that names a protocol.
+    /// The reply is neither an error nor does it name a protocol.
     pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<HelloOutcome>), ProtocolError> {
         let mut at = 0;
         while at < input.len() {
@@ -408,7 +423,7 @@
             return match frame.get("proto") {
                 Some(Frame::Integer(3)) => Ok((at, Some(Ok(Protocol::Three)))),
                 Some(Frame::Integer(2)) => Ok((at, Some(Ok(Protocol::Two)))),
-                _ => Err(ProtocolError("the answer to HELLO names no protocol")),
+                _ => Err(ProtocolError("the reply to HELLO names no supported protocol")),
             };
         }
         Ok((at, None))
