--- a/crates/resp/fuzz/fuzz_targets/frames.rs
+++ b/crates/resp/fuzz/fuzz_targets/frames.rs
@@ -1,39 +1,40 @@
-//! Frames: any input, cut anywhere, ends alike; what was read is written and read back the same; what another
-//! decoder reads from that in RESP2 ends where it does here.
+//! Frames: any input gives the same result however it is split; parsed frames are the same after writing and
+//! parsing them again; another decoder finds the end of their RESP2 form where this crate does.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
 use resp::{Frame, FrameReader, Limits, Protocol, ProtocolError};
 
 fn read(pieces: [&[u8]; 2], limits: Limits) -> Result<Vec<Frame>, (Vec<Frame>, ProtocolError)> {
-    let (mut frames, mut all) = (FrameReader::new(limits), Vec::new());
+    let (mut reader, mut frames) = (FrameReader::new(limits), Vec::new());
     for mut piece in pieces {
         while !piece.is_empty() {
-            match frames.feed(piece) {
+            match reader.feed(piece) {
                 Ok((used, frame)) => {
                     assert!(used > 0);
-                    all.extend(frame);
+                    frames.extend(frame);
                     piece = &piece[used..];
                 }
-                Err(e) => return Err((all, e)),
+                Err(e) => return Err((frames, e)),
             }
         }
     }
-    Ok(all)
+    Ok(frames)
 }
 
 fuzz_target!(|data: &[u8]| {
-    let Some((cut, input)) = data.split_first() else { return };
-    let at = usize::from(*cut) % (input.len() + 1);
+    let Some((split, input)) = data.split_first() else { return };
+    let at = usize::from(*split) % (input.len() + 1);
     let limits = Limits { max_depth: 6, max_elements: 64, max_blob_bytes: 256, max_total_bytes: 1 << 10 };
     let whole = read([input, &[]], limits);
     let halves = read([&input[..at], &input[at..]], limits);
-    // By their text: NaN is not its own equal.
+    // Compared as text, since NaN is not equal to itself.
     assert_eq!(format!("{whole:?}"), format!("{halves:?}"));
     for frame in whole.unwrap_or_else(|(frames, _)| frames) {
         let mut out = Vec::new();
         frame.write(Protocol::Three, &mut out);
-        let back = read([&out, &[]], Limits { max_total_bytes: 1 << 20, ..Limits::default() }).expect("reads back");
+        let back =
+            read([&out, &[]], Limits { max_total_bytes: 1 << 20, ..Limits::default() }).expect("reads back");
         assert_eq!(format!("{back:?}"), format!("{:?}", [&frame]));
         out.clear();
         frame.write(Protocol::Two, &mut out);
--- a/crates/resp/tests/common/mod.rs
+++ b/crates/resp/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests share.
+//! Shared by the tests.
 
-/// Cuts `bytes` at the given places.
+/// Splits `bytes` at the given offsets, taken modulo the length.
 pub fn split<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     cuts.extend([0, bytes.len()]);
--- a/crates/resp/tests/frames.rs
+++ b/crates/resp/tests/frames.rs
@@ -1,14 +1,15 @@
-//! Frames of RESP3 (and RESP2): against another decoder, however they are cut, and past every bound.
+//! Frames of RESP2 and RESP3: compared with another decoder, split at any offset, and beyond every limit.
+//! Also the RESP3 replies that are built from them.
 
 mod common;
 
 use common::split;
 use proptest::prelude::*;
-use redis_protocol::resp3::decode::complete::decode as other;
-use redis_protocol::resp3::types::OwnedFrame as Other;
+use redis_protocol::resp3::decode::complete::decode as other_decode;
+use redis_protocol::resp3::types::OwnedFrame as OtherFrame;
 use resp::*;
 
-/// Reads all frames and pushes of an input given in pieces.
+/// Reads all frames and pushes of an input that arrives in pieces.
 fn read(pieces: &[&[u8]], limits: Limits) -> Result<Vec<Frame>, ProtocolError> {
     let (mut frames, mut all) = (FrameReader::new(limits), Vec::new());
     for mut piece in pieces.iter().copied() {
@@ -20,12 +21,12 @@
         }
     }
     if frames.in_progress() {
-        return Err(ProtocolError("half a frame"));
+        return Err(ProtocolError("the input ends within a frame"));
     }
     Ok(all)
 }
 
-fn one(text: &[u8]) -> Result<Frame, ProtocolError> {
+fn read_one(text: &[u8]) -> Result<Frame, ProtocolError> {
     let mut all = read(&[text], Limits::default())?;
     assert_eq!(all.len(), 1, "{text:?}");
     Ok(all.remove(0))
@@ -45,7 +46,7 @@
         Just(Frame::Null),
         any::<bool>().prop_map(Frame::Boolean),
         any::<i64>().prop_map(Frame::Integer),
-        any::<f64>().prop_filter("its own equal", |d| !d.is_nan()).prop_map(Frame::Double),
+        any::<f64>().prop_filter("not NaN", |d| !d.is_nan()).prop_map(Frame::Double),
         "-?[0-9]{1,40}".prop_map(|d| Frame::BigNumber(d.into_bytes())),
         line.clone().prop_map(Frame::SimpleString),
         line.prop_map(Frame::SimpleError),
@@ -69,43 +70,47 @@
     })
 }
 
-/// The same in the other decoder's terms, as far as it has them: it keeps attributes apart, and sets and maps by
+/// Compares a frame with that of the other decoder, which keeps attributes apart and stores sets and maps by
 /// hash.
-fn alike(a: &Frame, b: &Other) -> bool {
-    let all = |a: &[Frame], b: &[Other]| a.len() == b.len() && a.iter().zip(b).all(|(a, b)| alike(a, b));
+fn is_equal_to_other(a: &Frame, b: &OtherFrame) -> bool {
+    let all_equal = |a: &[Frame], b: &[OtherFrame]| {
+        a.len() == b.len() && a.iter().zip(b).all(|(a, b)| is_equal_to_other(a, b))
+    };
     match (a, b) {
-        (Frame::Null, Other::Null) => true,
-        (Frame::Boolean(a), Other::Boolean { data, .. }) => a == data,
-        (Frame::Integer(a), Other::Number { data, .. }) => a == data,
-        (Frame::Double(a), Other::Double { data, .. }) => a == data,
-        (Frame::BigNumber(a), Other::BigNumber { data, .. }) => a == data,
-        (Frame::SimpleString(a), Other::SimpleString { data, .. }) => a == data,
-        (Frame::SimpleError(a), Other::SimpleError { data, .. }) => a == data.as_bytes(),
-        (Frame::Blob(BlobKind::String, a), Other::BlobString { data, .. }) => a == data,
-        (Frame::Blob(BlobKind::Error, a), Other::BlobError { data, .. }) => a == data,
-        (Frame::Blob(BlobKind::Verbatim(_), a), Other::VerbatimString { data, .. }) => a == data,
-        (Frame::Array(a), Other::Array { data, .. }) => all(a, data),
-        (Frame::Push(a), Other::Push { data, .. }) => all(a, data),
-        (Frame::Set(a), Other::Set { data, .. }) => data.iter().all(|b| a.iter().any(|a| alike(a, b))),
-        (Frame::Map(a), Other::Map { data, .. }) => {
-            data.iter().all(|(k, v)| a.iter().any(|(ak, av)| alike(ak, k) && alike(av, v)))
+        (Frame::Null, OtherFrame::Null) => true,
+        (Frame::Boolean(a), OtherFrame::Boolean { data, .. }) => a == data,
+        (Frame::Integer(a), OtherFrame::Number { data, .. }) => a == data,
+        (Frame::Double(a), OtherFrame::Double { data, .. }) => a == data,
+        (Frame::BigNumber(a), OtherFrame::BigNumber { data, .. }) => a == data,
+        (Frame::SimpleString(a), OtherFrame::SimpleString { data, .. }) => a == data,
+        (Frame::SimpleError(a), OtherFrame::SimpleError { data, .. }) => a == data.as_bytes(),
+        (Frame::Blob(BlobKind::String, a), OtherFrame::BlobString { data, .. }) => a == data,
+        (Frame::Blob(BlobKind::Error, a), OtherFrame::BlobError { data, .. }) => a == data,
+        (Frame::Blob(BlobKind::Verbatim(_), a), OtherFrame::VerbatimString { data, .. }) => a == data,
+        (Frame::Array(a), OtherFrame::Array { data, .. }) => all_equal(a, data),
+        (Frame::Push(a), OtherFrame::Push { data, .. }) => all_equal(a, data),
+        (Frame::Set(a), OtherFrame::Set { data, .. }) => {
+            data.iter().all(|b| a.iter().any(|a| is_equal_to_other(a, b)))
         }
+        (Frame::Map(a), OtherFrame::Map { data, .. }) => data
+            .iter()
+            .all(|(k, v)| a.iter().any(|(ak, av)| is_equal_to_other(ak, k) && is_equal_to_other(av, v))),
         _ => false,
     }
 }
 
-/// Has it only what the other decoder reads in the same way? It refuses errors that are not UTF-8, does not nest
-/// attributes, and has no sets or maps of what can't be hashed.
-fn common(frame: &Frame) -> bool {
-    let plain = |f: &Frame| {
+/// True if the other decoder supports the frame: it rejects errors that are not UTF-8, does not nest
+/// attributes, and has no sets or maps of what cannot be hashed.
+fn is_supported_by_other(frame: &Frame) -> bool {
+    let is_hashable = |f: &Frame| {
         matches!(f, Frame::Integer(_) | Frame::Blob(BlobKind::String, _) | Frame::SimpleString(_))
     };
     match frame {
         Frame::SimpleError(text) | Frame::Blob(BlobKind::Error, text) => std::str::from_utf8(text).is_ok(),
         Frame::Attribute(..) | Frame::Push(_) => false,
-        Frame::Array(all) => all.iter().all(common),
-        Frame::Set(all) => all.iter().all(plain),
-        Frame::Map(all) => all.iter().all(|(k, v)| plain(k) && common(v)),
+        Frame::Array(elements) => elements.iter().all(is_supported_by_other),
+        Frame::Set(elements) => elements.iter().all(is_hashable),
+        Frame::Map(pairs) => pairs.iter().all(|(k, v)| is_hashable(k) && is_supported_by_other(v)),
         _ => true,
     }
 }
@@ -114,7 +119,7 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_reads_back_however_it_is_cut(
+    fn written_frames_parse_to_the_same_frames_for_any_split(
         all in proptest::collection::vec(frames(), 1..4),
         cuts in proptest::collection::vec(any::<usize>(), 0..12),
     ) {
@@ -124,19 +129,21 @@
     }
 
     #[test]
-    fn another_decoder_reads_the_same(frame in frames().prop_filter("common", common)) {
+    fn written_frames_match_another_decoder(
+        frame in frames().prop_filter("supported by the other decoder", is_supported_by_other),
+    ) {
         let bytes = encoded(&frame, Protocol::Three);
-        let (back, used) = other(&bytes).expect("decodes").expect("whole");
+        let (back, used) = other_decode(&bytes).expect("decodes").expect("whole");
         prop_assert_eq!(used, bytes.len());
-        prop_assert!(alike(&frame, &back), "{:?} {:?}", frame, back);
-        // In RESP2 it is the other decoder's RESP2.
+        prop_assert!(is_equal_to_other(&frame, &back), "{:?} {:?}", frame, back);
+        // The RESP2 form is valid for the other decoder's RESP2 parser.
         let bytes = encoded(&frame, Protocol::Two);
         let back = redis_protocol::resp2::decode::decode(&bytes).expect("decodes").expect("whole");
         prop_assert_eq!(back.1, bytes.len());
     }
 
     #[test]
-    fn mutated_input_ends_alike_however_it_is_cut_and_within_its_bounds(
+    fn mutated_input_gives_the_same_result_for_any_split_and_stays_within_limits(
         frame in frames(),
         changes in proptest::collection::vec((any::<usize>(), prop_oneof![any::<u8>(), Just(b'?'), Just(b'>'),
             Just(b'|'), Just(b';'), Just(b'*'), Just(b'9'), Just(b'\r'), Just(b'\n')]), 1..6),
@@ -150,9 +157,9 @@
         let limits = Limits { max_depth: 6, max_elements: 64, max_blob_bytes: 512, max_total_bytes: 1 << 10 };
         let whole = read(&[&bytes], limits);
         let cut = read(&split(&bytes, &cuts), limits);
-        // NaN is not its own equal.
+        // Compared as text, since NaN is not equal to itself.
         prop_assert_eq!(format!("{cut:?}"), format!("{whole:?}"));
-        // A greeting and a reply reader take the same without harm.
+        // The parser of HELLO replies and the reply reader do not panic on the same input.
         let _ = HelloReplyParser::default().feed(&bytes);
         let mut reader = ReplyReader::new(Protocol::Three);
         let mut left = &bytes[..];
@@ -163,28 +170,29 @@
 }
 
 #[test]
-fn streamed_forms_and_attributes_are_put_together() {
+fn streamed_types_and_consecutive_attributes_are_assembled() {
     let text = |t: &str| Frame::bulk_string(t);
-    assert_eq!(one(b"$?\r\n;4\r\nHell\r\n;1\r\no\r\n;0\r\n"), Ok(text("Hello")));
+    assert_eq!(read_one(b"$?\r\n;4\r\nHell\r\n;1\r\no\r\n;0\r\n"), Ok(text("Hello")));
     assert_eq!(
-        one(b"*?\r\n:1\r\n~?\r\n.\r\n.\r\n"),
+        read_one(b"*?\r\n:1\r\n~?\r\n.\r\n.\r\n"),
         Ok(Frame::Array(vec![Frame::Integer(1), Frame::Set(vec![])]))
     );
     assert_eq!(
-        one(b"%?\r\n+a\r\n:1\r\n.\r\n"),
+        read_one(b"%?\r\n+a\r\n:1\r\n.\r\n"),
         Ok(Frame::Map(vec![(Frame::SimpleString(b"a".to_vec()), Frame::Integer(1))]))
     );
-    let told = vec![(Frame::SimpleString(b"ttl".to_vec()), Frame::Integer(3)), (text("a"), Frame::Null)];
+    let attributes =
+        vec![(Frame::SimpleString(b"ttl".to_vec()), Frame::Integer(3)), (text("a"), Frame::Null)];
     let both = b"*1\r\n|1\r\n+ttl\r\n:3\r\n|1\r\n$1\r\na\r\n_\r\n$1\r\nv\r\n";
-    assert_eq!(one(both), Ok(Frame::Array(vec![Frame::Attribute(told, Box::new(text("v")))])));
-    assert_eq!(one(b",-inf\r\n"), Ok(Frame::Double(f64::NEG_INFINITY)));
-    assert!(matches!(one(b",nan\r\n"), Ok(Frame::Double(d)) if d.is_nan()));
-    assert_eq!(one(b"*-1\r\n"), Ok(Frame::Null));
-    assert_eq!(one(b"=7\r\nmkd:# a\r\n"), Ok(Frame::Blob(BlobKind::Verbatim(*b"mkd"), b"# a".to_vec())));
+    assert_eq!(read_one(both), Ok(Frame::Array(vec![Frame::Attribute(attributes, Box::new(text("v")))])));
+    assert_eq!(read_one(b",-inf\r\n"), Ok(Frame::Double(f64::NEG_INFINITY)));
+    assert!(matches!(read_one(b",nan\r\n"), Ok(Frame::Double(d)) if d.is_nan()));
+    assert_eq!(read_one(b"*-1\r\n"), Ok(Frame::Null));
+    assert_eq!(read_one(b"=7\r\nmkd:# a\r\n"), Ok(Frame::Blob(BlobKind::Verbatim(*b"mkd"), b"# a".to_vec())));
 }
 
 #[test]
-fn pushes_are_elements_of_nothing_wherever_they_stand() {
+fn pushes_are_not_elements_of_the_frames_around_them() {
     let push = ">2\r\n+invalidate\r\n*1\r\n$1\r\nk\r\n";
     let around = |head: &str, tail: &str| format!("{head}{push}{tail}");
     for (head, tail) in [
@@ -197,20 +205,20 @@
         ("*?\r\n:1\r\n", ".\r\n"),
     ] {
         let with = read(&[around(head, tail).as_bytes()], Limits::default()).expect(head);
-        assert!(matches!(&with[0], Frame::Push(told) if told.len() == 2), "{with:?}");
-        assert_eq!(with[1..], [one(format!("{head}{tail}").as_bytes()).expect("whole")]);
+        assert!(matches!(&with[0], Frame::Push(elements) if elements.len() == 2), "{with:?}");
+        assert_eq!(with[1..], [read_one(format!("{head}{tail}").as_bytes()).expect("whole")]);
     }
-    // Inside a bulk string they are data.
+    // Inside a blob string the bytes of a push are data.
     let data = format!("${}\r\n{push}\r\n", push.len());
-    assert_eq!(one(data.as_bytes()), Ok(Frame::bulk_string(push)));
+    assert_eq!(read_one(data.as_bytes()), Ok(Frame::bulk_string(push)));
 }
 
 #[test]
-fn every_bound_holds_for_nested_and_streamed_forms_too() {
+fn every_limit_holds_for_nested_and_streamed_types_too() {
     let limits = Limits { max_depth: 4, max_elements: 64, max_blob_bytes: 512, max_total_bytes: 1 << 10 };
-    let refused = |text: &str, why: &str| {
-        let error = read(&[text.as_bytes()], limits).expect_err(why);
-        assert_eq!(error.0, why, "{:?}", text.get(..40).unwrap_or(text));
+    let refused = |text: &str, expected: &str| {
+        let error = read(&[text.as_bytes()], limits).expect_err(expected);
+        assert_eq!(error.0, expected, "{:?}", text.get(..40).unwrap_or(text));
     };
     refused(&"*1\r\n".repeat(10_000), "aggregates nested too deep");
     refused(&"*?\r\n".repeat(10_000), "aggregates nested too deep");
@@ -249,7 +257,7 @@
     refused("%-1\r\n", "invalid length");
     refused("+a\nb\r\n", "expected a line end");
     refused("@1\r\n", "unknown type byte");
-    // What a push spends is its own, and what was spent around it is not forgotten.
+    // A push has limits of its own, and what the frame around it used before it still counts.
     let push = format!(">1\r\n$512\r\n{}\r\n", "x".repeat(512));
     let blob = format!("$512\r\n{}\r\n", "x".repeat(512));
     let fits = format!("*3\r\n{blob}{push}{blob}{push}_\r\n");
@@ -257,10 +265,10 @@
     refused(&format!("*3\r\n{blob}{push}{blob}{push}{blob}"), "frame exceeds the element or byte limit");
 }
 
-// ---- replies ----
+// ---- replies in RESP3 ----
 
-/// Reads what a node that speaks RESP3 said.
-fn items(pieces: &[&[u8]]) -> Result<Vec<ServerMessage>, ProtocolError> {
+/// Reads the messages of a node that speaks RESP3.
+fn messages(pieces: &[&[u8]]) -> Result<Vec<ServerMessage>, ProtocolError> {
     let (mut reader, mut all) = (ReplyReader::new(Protocol::Three), Vec::new());
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
@@ -273,9 +281,9 @@
     Ok(all)
 }
 
-/// One reply, in both protocols.
+/// Parses one RESP3 reply, and writes it in both protocols.
 fn translated(text: &str) -> Result<(Reply, String, String), ProtocolError> {
-    let mut all = items(&[text.as_bytes()])?;
+    let mut all = messages(&[text.as_bytes()])?;
     let Some(ServerMessage::Reply(reply, value)) = all.pop() else { panic!("{text:?}: no reply") };
     assert_eq!(all, []);
     let write = |protocol| {
@@ -288,7 +296,7 @@
 }
 
 #[test]
-fn every_shape_of_a_reply_becomes_the_same_answer() {
+fn every_form_of_a_reply_is_written_the_same() {
     let two = "*3\r\n$5\r\na\r\nbc\r\n$3\r\nhit\r\n$14\r\nload=1,util=.5\r\n";
     for text in [
         two.replace("\r\n$14\r\nload=1,util=.5\r\n", "\r\n+load=1,util=.5\r\n"),
@@ -307,7 +315,7 @@
 }
 
 #[test]
-fn values_of_other_types_become_what_redis_has_for_them_or_are_none() {
+fn values_of_other_types_are_converted_as_in_redis_or_are_no_value() {
     for (value, in_two) in [
         ("=6\r\ntxt:ab\r\n", "$2\r\nab\r\n"),
         (",1.50\r\n", "$4\r\n1.50\r\n"),
@@ -336,7 +344,7 @@
 }
 
 #[test]
-fn errors_mean_the_same_in_either_form() {
+fn simple_and_blob_errors_give_the_same_outcome() {
     for (text, kind, load) in [
         ("-BUSY 20\r\n", ReplyKind::Busy, ""),
         ("!7\r\nBUSY 20\r\n", ReplyKind::Busy, ""),
@@ -350,29 +358,32 @@
 }
 
 #[test]
-fn a_reply_that_came_to_harm_is_none() {
+fn corrupted_replies_are_refused() {
     for bad in [
         "*3\r\n$1\r\nv\r\n+\u{1}\r\n_\r\n",
         "%2\r\n+value\r\n$1\r\na\r\n+value\r\n$1\r\nb\r\n",
         "*1\r\n$4194305\r\n",
         "*2\r\n$1\r\nv\r\n$1025\r\n",
     ] {
-        assert!(items(&[bad.as_bytes(), &[b'x'; 1025]]).is_err(), "{bad:?} was taken");
+        assert!(messages(&[bad.as_bytes(), &[b'x'; 1025]]).is_err(), "{bad:?} was accepted");
     }
 }
 
 #[test]
-fn pushes_are_told_apart_from_replies_wherever_they_stand() {
+fn pushes_between_and_within_replies_do_not_change_the_replies() {
     let push = format!(">2\r\n+invalidate\r\n$65536\r\n{}\r\n", "k".repeat(MAX_BUFFERED_VALUE_BYTES));
     let text = format!("{push}*3\r\n$?\r\n;1\r\na\r\n{push};1\r\nb\r\n;0\r\n{push}+hit\r\n_\r\n{push}");
-    let mut all = items(&[text.as_bytes()]).expect("reads");
+    let mut all = messages(&[text.as_bytes()]).expect("reads");
     let ServerMessage::Reply(reply, value) = all.remove(3) else { panic!("no reply") };
     assert_eq!((reply.kind, &value[..], &reply.note[..]), (ReplyKind::Served, &b"ab"[..], &b"hit"[..]));
-    assert!(all.len() == 4 && all.iter().all(|i| matches!(i, ServerMessage::Push(told) if told.len() == 2)));
+    assert!(
+        all.len() == 4
+            && all.iter().all(|i| matches!(i, ServerMessage::Push(elements) if elements.len() == 2))
+    );
 }
 
 #[test]
-fn the_answer_to_a_greeting_names_a_protocol_or_refuses() {
+fn a_hello_reply_names_a_protocol_or_is_an_error() {
     let map = b"%2\r\n+server\r\n+box\r\n+proto\r\n:3\r\n*3\r\n";
     for cut in 0..map.len() {
         let mut greeting = HelloReplyParser::default();
--- a/crates/resp/tests/long.rs
+++ b/crates/resp/tests/long.rs
@@ -1,4 +1,5 @@
-//! Values that are handed on in parts: the same however they are cut, in both protocols, and within their bounds.
+//! Values that are streamed in parts: the same for any split of the input, in both protocols, and within
+//! their limits.
 
 mod common;
 
@@ -6,43 +7,44 @@
 use proptest::prelude::*;
 use resp::*;
 
+/// What the reader returned, with the parts of the streamed values put together.
 #[derive(Debug, Default, PartialEq)]
 struct Read {
     heads: Vec<(BodyFormat, usize)>,
     value: Vec<u8>,
     tails: Vec<Reply>,
-    others: usize,
+    other_messages: usize,
 }
 
 fn read(pieces: &[&[u8]], protocol: Protocol) -> Result<Read, ProtocolError> {
-    let (mut reader, mut all) = (ReplyReader::new(protocol), Read::default());
+    let (mut reader, mut read) = (ReplyReader::new(protocol), Read::default());
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
-            let (used, item) = reader.feed(piece)?;
+            let (used, message) = reader.feed(piece)?;
             assert!(used > 0, "no progress");
             piece = &piece[used..];
-            match item {
+            match message {
                 Some(ServerMessage::Part(part)) => {
-                    // What is kept is no longer than what came with it.
+                    // No more is buffered than arrived in this piece.
                     assert!(part.bytes.len() <= used);
-                    all.heads.extend(part.head);
-                    all.value.extend(part.bytes);
-                    all.tails.extend(part.tail);
+                    read.heads.extend(part.head);
+                    read.value.extend(part.bytes);
+                    read.tails.extend(part.tail);
                 }
-                Some(_) => all.others += 1,
+                Some(_) => read.other_messages += 1,
                 None => {}
             }
         }
     }
-    Ok(all)
+    Ok(read)
 }
 
 fn value(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i % 251) as u8).collect()
 }
 
-/// A reply with a long value between two short ones.
-fn between(value: &[u8], before: &str, after: &str) -> Vec<u8> {
+/// A reply with this value between two short replies.
+fn between_short_replies(value: &[u8], before: &str, after: &str) -> Vec<u8> {
     let short = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n";
     [&short[..], before.as_bytes(), value, after.as_bytes(), short].concat()
 }
@@ -51,26 +53,26 @@
     #![proptest_config(ProptestConfig::with_cases(32))]
 
     #[test]
-    fn any_split_of_long_values_is_read_alike(
+    fn streamed_values_are_the_same_for_any_split(
         more in 1usize..200_000,
         cuts in proptest::collection::vec(any::<usize>(), 0..8),
     ) {
         let length = MAX_BUFFERED_VALUE_BYTES + more;
         let value = value(length);
         let head = format!("*3\r\n${length}\r\n");
-        let bytes = between(&value, &head, "\r\n$4\r\nmiss\r\n$-1\r\n");
+        let bytes = between_short_replies(&value, &head, "\r\n$4\r\nmiss\r\n$-1\r\n");
         for protocol in [Protocol::Two, Protocol::Three] {
-            let told = read(&split(&bytes, &cuts), protocol).expect("reads");
-            prop_assert_eq!(&told.heads, &[(BodyFormat::BlobString, length)]);
-            prop_assert!(told.value == value, "another value");
-            prop_assert_eq!((told.tails.len(), told.others), (1, 2));
-            prop_assert_eq!((told.tails[0].kind, &told.tails[0].note[..]), (ReplyKind::Served, &b"miss"[..]));
+            let streamed = read(&split(&bytes, &cuts), protocol).expect("reads");
+            prop_assert_eq!(&streamed.heads, &[(BodyFormat::BlobString, length)]);
+            prop_assert!(streamed.value == value, "the value differs");
+            prop_assert_eq!((streamed.tails.len(), streamed.other_messages), (1, 2));
+            prop_assert_eq!((streamed.tails[0].kind, &streamed.tails[0].note[..]), (ReplyKind::Served, &b"miss"[..]));
         }
     }
 }
 
 #[test]
-fn what_is_written_from_the_parts_is_what_would_be_written_whole() {
+fn parts_are_written_as_the_whole_reply_would_be() {
     let value = value(MAX_BUFFERED_VALUE_BYTES + 1);
     for (shape, head, two, three) in [
         (BodyFormat::BlobString, format!("${}\r\n", value.len()), "$65537\r\n", "$65537\r\n"),
@@ -81,9 +83,9 @@
             "=65541\r\ntxt:",
         ),
     ] {
-        let bytes = between(&value, &format!("|1\r\n+note\r\n+hit\r\n{head}"), "\r\n");
-        let told = read(&[&bytes], Protocol::Three).expect("reads");
-        assert_eq!(told.heads, [(shape, value.len())]);
+        let bytes = between_short_replies(&value, &format!("|1\r\n+note\r\n+hit\r\n{head}"), "\r\n");
+        let streamed = read(&[&bytes], Protocol::Three).expect("reads");
+        assert_eq!(streamed.heads, [(shape, value.len())]);
         for (protocol, begins, ends) in [
             (Protocol::Two, two, "\r\n$3\r\nhit\r\n$-1\r\n"),
             (Protocol::Three, three, "\r\n$3\r\nhit\r\n_\r\n"),
@@ -91,7 +93,7 @@
             let mut out = Vec::new();
             Reply::write_head(shape, value.len(), protocol, &mut out);
             out.extend_from_slice(&value);
-            told.tails[0].write_tail(protocol, &mut out);
+            streamed.tails[0].write_tail(protocol, &mut out);
             let expected = [b"*3\r\n", begins.as_bytes(), &value, ends.as_bytes()].concat();
             assert!(out == expected, "{shape:?} in {protocol:?}");
         }
@@ -99,10 +101,10 @@
 }
 
 #[test]
-fn a_value_that_does_not_tell_its_length_or_is_pushed_is_not_kept_past_a_bound() {
+fn streamed_strings_and_pushes_beyond_the_buffer_limit_are_refused() {
     let chunk = format!(";60000\r\n{}\r\n", "v".repeat(60_000));
     let one = format!("$?\r\n{chunk};0\r\n");
-    assert_eq!(read(&[one.as_bytes()], Protocol::Three).map(|r| r.others), Ok(1));
+    assert_eq!(read(&[one.as_bytes()], Protocol::Three).map(|r| r.other_messages), Ok(1));
     let two = format!("$?\r\n{chunk}{chunk};0\r\n");
     assert!(read(&[two.as_bytes()], Protocol::Three).is_err());
     let push = format!(
@@ -118,24 +120,29 @@
 }
 
 #[test]
-fn a_command_with_a_long_value_waits_for_room_and_loses_nothing() {
+fn a_command_whose_value_waits_for_memory_is_read_completely_later() {
     let value = value(MAX_BUFFERED_VALUE_BYTES + 9);
     let mut command = b"*5\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$1\r\nd\r\n".to_vec();
     command.extend(format!("${}\r\n", value.len()).as_bytes());
     command.extend_from_slice(&value);
     command.extend_from_slice(b"\r\n");
-    // Room for one and a half.
-    let room = MemoryBudget::new(value.len() * 3 / 2);
-    let (mut first, mut second) = (CommandParser::new(room.clone()), CommandParser::new(room));
+    // Enough memory for one and a half values.
+    let budget = MemoryBudget::new(value.len() * 3 / 2);
+    let (mut first, mut second) = (CommandParser::new(budget.clone()), CommandParser::new(budget));
     let held = first.feed(&command).expect("parses").1.expect("whole");
-    let (used, none) = second.feed(&command).expect("parses");
-    assert!(none.is_none() && second.waits_for_memory() && second.in_value() && !second.retry_reservation());
+    let (used, command_read) = second.feed(&command).expect("parses");
+    assert!(
+        command_read.is_none()
+            && second.waits_for_memory()
+            && second.in_value()
+            && !second.retry_reservation()
+    );
     assert_eq!(second.feed(&command[used..]).map(|(n, c)| (n, c.is_some())), Ok((0, false)));
     drop(held);
     assert!(second.retry_reservation());
     let whole = second.feed(&command[used..]).expect("parses").1.expect("whole");
     assert!(whole.is_complete() && whole.arg(4) == value);
-    // What could never have room is read and dropped, so that it can be refused.
+    // A value larger than the whole budget is read and dropped, so that the command can be refused.
     let mut small = CommandParser::new(MemoryBudget::new(MAX_BUFFERED_VALUE_BYTES));
     assert!(!small.feed(&command).expect("parses").1.expect("whole").is_complete());
 }
--- a/crates/resp/tests/parsers.rs
+++ b/crates/resp/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Commands and RESP2 replies, however they are cut, and the bounds on them.
+//! Commands and RESP2 replies: the same result for any split of the input, and the limits on them.
 
 mod common;
 
@@ -6,11 +6,11 @@
 use proptest::prelude::*;
 use resp::*;
 
-const VALUE_AT: usize = 4;
-const MAX_LINE: usize = 1 << 10;
+const VALUE_INDEX: usize = 4;
+const MAX_LINE_BYTES: usize = 1 << 10;
 
-fn commands(pieces: &[&[u8]], room: usize) -> Result<Vec<Vec<Vec<u8>>>, ProtocolError> {
-    let mut parser = CommandParser::new(MemoryBudget::new(room));
+fn commands(pieces: &[&[u8]], budget: usize) -> Result<Vec<Vec<Vec<u8>>>, ProtocolError> {
+    let mut parser = CommandParser::new(MemoryBudget::new(budget));
     let mut all = Vec::new();
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn any_split_of_commands_parses_alike(
+    fn commands_are_the_same_for_any_split(
         args in proptest::collection::vec(proptest::collection::vec(
             proptest::collection::vec(any::<u8>(), 0..50), 1..6), 1..4),
         cuts in proptest::collection::vec(any::<usize>(), 0..12),
@@ -77,7 +77,7 @@
     }
 
     #[test]
-    fn any_split_of_replies_parses_alike(
+    fn replies_are_the_same_for_any_split(
         all in proptest::collection::vec(reply(), 1..5),
         cuts in proptest::collection::vec(any::<usize>(), 0..12),
     ) {
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn rubbish_ends_alike_however_it_is_split(
+    fn invalid_input_gives_the_same_result_for_any_split(
         bytes in proptest::collection::vec(prop_oneof![any::<u8>(), Just(b'*'), Just(b'$'), Just(b'1'),
             Just(b'\r'), Just(b'\n')], 1..60),
         cuts in proptest::collection::vec(any::<usize>(), 0..12),
@@ -99,29 +99,29 @@
 }
 
 #[test]
-fn a_value_without_room_is_read_to_its_end_and_gives_its_room_back() {
-    let room = MemoryBudget::new(10_000);
-    let mut args = vec![b"x".to_vec(); VALUE_AT];
+fn a_value_without_memory_is_read_to_its_end_and_memory_is_returned_on_drop() {
+    let budget = MemoryBudget::new(10_000);
+    let mut args = vec![b"x".to_vec(); VALUE_INDEX];
     args.push(vec![b'x'; 8_000]);
     let big = encode(&args);
-    let mut first = CommandParser::new(room.clone());
-    let mut second = CommandParser::new(room.clone());
+    let mut first = CommandParser::new(budget.clone());
+    let mut second = CommandParser::new(budget.clone());
     let held = first.feed(&big).expect("parses").1.expect("whole");
-    assert!(held.is_complete() && held.arg(VALUE_AT).len() == 8_000);
+    assert!(held.is_complete() && held.arg(VALUE_INDEX).len() == 8_000);
     let refused = second.feed(&big).expect("parses").1.expect("whole");
-    assert!(!refused.is_complete() && refused.arity() == VALUE_AT + 1);
+    assert!(!refused.is_complete() && refused.arity() == VALUE_INDEX + 1);
     drop(held);
     assert!(second.feed(&big).expect("parses").1.expect("whole").is_complete());
 }
 
 #[test]
-fn bounds_hold() {
+fn input_beyond_the_limits_is_refused() {
     let value = "*5\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$4194305\r\n";
     for bad in ["PING\r\n", "*17\r\n", "*1\r\n$1025\r\n", value, "*1\r\n$-1\r\n", "*99999999999\r\n", "*1\n"]
     {
-        assert!(commands(&[bad.as_bytes()], 0).is_err(), "{bad:?} was taken");
+        assert!(commands(&[bad.as_bytes()], 0).is_err(), "{bad:?} was accepted");
     }
-    let line = format!("-{}\r\n", "x".repeat(MAX_LINE + 1));
+    let line = format!("-{}\r\n", "x".repeat(MAX_LINE_BYTES + 1));
     let value = |more: &str| format!("*3\r\n$1\r\nx\r\n{more}");
     for bad in [
         "*4\r\n",
@@ -140,12 +140,12 @@
         "?\r\n",
         &line,
     ] {
-        assert!(replies(&[bad.as_bytes()]).is_err(), "{bad:?} was taken");
+        assert!(replies(&[bad.as_bytes()]).is_err(), "{bad:?} was accepted");
     }
 }
 
 #[test]
-fn replies_tell_what_they_are() {
+fn replies_report_their_outcome_note_and_load() {
     let all = replies(&[
         b"*3\r\n$1\r\nv\r\n$7\r\npending\r\n$-1\r\n-BUSY 5\r\n-BUSYBODY\r\n-ERR failed util=1\r\n",
     ])
