--- a/crates/session/src/users.rs
+++ b/crates/session/src/users.rs
@@ -1,25 +1,26 @@
-//! Users: who may ask, and for what.
+//! Users, their passwords, and the commands and tenants that they may access.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 use subtle::ConstantTimeEq;
 
-/// The longest password that is looked at; a longer one is wrong.
+/// The longest password; a longer one is always wrong.
 pub const MAX_PASSWORD_BYTES: usize = 512;
-/// Salts are this long.
+/// The length of a salt.
 pub const SALT_BYTES: usize = 16;
-/// The user that a connection is before it says otherwise.
+/// The name of the user that a connection has before it logs in.
 pub const DEFAULT_USER: &str = "default";
 
-/// A password as it is kept: SHA-256 over a salt and the password. One round: checking must cost the loop less
-/// than reading the command did, so a password has to be long and made by chance, not a word.
+/// The stored form of a password: SHA-256 over a salt and the password. There is only one round, because
+/// checking it must not delay the event loop more than reading the command did. A password therefore has to
+/// be long and random.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PasswordHash {
     salt: [u8; SALT_BYTES],
     digest: [u8; 32],
 }
 
-/// A text that is no password in this form.
+/// The text is not a password hash of the expected form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidPasswordHash;
 
@@ -41,10 +42,10 @@
         PasswordHash { salt, digest }
     }
 
-    /// Reads the form in which it is kept.
+    /// Parses the form `sha256:SALT:DIGEST`, which [`fmt::Display`] writes.
     ///
     /// # Errors
-    /// It is not of that form.
+    /// The text is not of that form.
     pub fn parse(text: &str) -> Result<Self, InvalidPasswordHash> {
         let (salt, digest) =
             text.strip_prefix("sha256:").and_then(|t| t.split_once(':')).ok_or(InvalidPasswordHash)?;
@@ -54,8 +55,8 @@
         Ok(password)
     }
 
-    /// Is it this one? How long that takes does not tell how much of it is right.
-    fn is(&self, password: &[u8]) -> bool {
+    /// Compares a password in constant time, so that the time does not reveal how much of the digest matches.
+    fn matches(&self, password: &[u8]) -> bool {
         let other = PasswordHash::new(password.get(..MAX_PASSWORD_BYTES).unwrap_or(password), self.salt);
         bool::from(self.digest.ct_eq(&other.digest)) && password.len() <= MAX_PASSWORD_BYTES
     }
@@ -67,56 +68,56 @@
     }
 }
 
-/// A user.
+/// A configured user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct User {
     /// The name.
     pub name: String,
-    /// Nothing is wanted without one: only the default user can be without.
+    /// The password, or `None` if the user needs none, which is possible for the default user only.
     pub password: Option<PasswordHash>,
-    /// The commands that it may call, in capitals; nothing where it may call all.
+    /// The cache commands that the user may call, in upper case, or `None` for all.
     pub commands: Option<Vec<String>>,
-    /// The tenants that it may ask for, by number; nothing where it may ask for all.
+    /// The numbers of the tenants that the user may access, or `None` for all.
     pub tenants: Option<Vec<u32>>,
 }
 
-/// All users of an instance.
+/// The configured users of an instance.
 #[derive(Clone, Debug, Default)]
 pub struct Users {
     all: Vec<User>,
 }
 
 impl Users {
-    /// These; with none, nobody is asked for a password and everybody may call everything.
+    /// The given users. If there are none, no client needs a password, and all may call every command.
     pub fn new(all: Vec<User>) -> Self {
         Users { all }
     }
 
-    /// A password is wanted of some.
+    /// True if clients have to authenticate, which is so as soon as there is a user.
     pub fn authentication_required(&self) -> bool {
         !self.all.is_empty()
     }
 
-    /// A user, by its number.
-    pub fn get(&self, user: usize) -> Option<&User> {
-        self.all.get(user)
+    /// The user at an index.
+    pub fn get(&self, index: usize) -> Option<&User> {
+        self.all.get(index)
     }
 
-    /// The number of the default user, if it needs no password.
-    pub(crate) fn open(&self) -> Option<usize> {
+    /// The index of the default user, if it exists and needs no password.
+    pub(crate) fn passwordless_default(&self) -> Option<usize> {
         self.all.iter().position(|u| u.name == DEFAULT_USER && u.password.is_none())
     }
 
-    /// The number of the user of this name and password. A name that there is not takes as long as one that
-    /// there is.
+    /// The index of the user with this name and password. An unknown name takes as long as a known one, so
+    /// that the time does not reveal which users exist.
     pub(crate) fn find(&self, name: &[u8], password: &[u8]) -> Option<usize> {
-        let at = self.all.iter().position(|u| u.name.as_bytes() == name);
-        let none = PasswordHash { salt: [0; SALT_BYTES], digest: [0; 32] };
-        match at.and_then(|at| self.all.get(at)) {
-            Some(User { password: None, .. }) => at,
+        let index = self.all.iter().position(|u| u.name.as_bytes() == name);
+        let dummy = PasswordHash { salt: [0; SALT_BYTES], digest: [0; 32] };
+        match index.and_then(|index| self.all.get(index)) {
+            Some(User { password: None, .. }) => index,
             user => {
-                let kept = user.and_then(|u| u.password.as_ref()).unwrap_or(&none);
-                kept.is(password).then_some(at).flatten()
+                let stored = user.and_then(|u| u.password.as_ref()).unwrap_or(&dummy);
+                stored.matches(password).then_some(index).flatten()
             }
         }
     }
