--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -47,16 +47,17 @@
 const MS: Nanos = 1_000_000;
 /// How often all connections are checked for those that have waited too long.
 const SWEEP_INTERVAL: Nanos = 100 * MS;
-/// How long the proxy accepts clients after SIGTERM: new connections may arrive for up to 400 ms.
+/// How long the proxy accepts clients after SIGTERM or a controller's drain: new connections may arrive for up to 400 ms
+/// after SIGTERM.
 const DRAIN_WINDOW: Nanos = 450 * MS;
-/// The process exits the longest request deadline plus this long after SIGTERM, even with requests open: SIGKILL
+/// The process exits the longest request deadline plus this long after SIGTERM, even with requests open, because SIGKILL
 /// follows 100 ms later.
 const EXIT_GRACE: Nanos = 600 * MS;
 /// How long accepting is suspended after descriptors ran out.
 const ACCEPT_PAUSE: Nanos = 20 * MS;
 /// Descriptors for everything but connections: standard streams, poll, listener, signals, discovery, and some spare.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Long values in commands may take this fraction (one quarter) of the memory, and unread answers as much.
+/// Long values in commands may take the configured memory divided by this, and unread answers as much.
 const MEMORY_DIVISOR: u64 = 4;
 /// The size of the read buffer.
 const READ_BUFFER_BYTES: usize = 64 << 10;
@@ -88,17 +89,17 @@
     terminating_since: Option<Nanos>,
     /// When a controller drained this instance; `None` while it serves.
     draining_since: Option<Nanos>,
-    /// No client connections are accepted any more.
+    /// Clients are not accepted: the drain window is over, or the instance started drained.
     closed_to_clients: bool,
     admin: Option<Admin>,
     control: Option<Endpoint>,
-    /// Copies of reads to boxes that are not in service yet.
+    /// Copies of reads to cache nodes that are not in service yet.
     shadow_traffic: Option<ShadowTraffic>,
     /// State that survives a restart.
     persisted: Kept,
     /// Counts the changes that watching controllers are notified of.
     change_count: u64,
-    /// A box that takes work has been known since the start.
+    /// A cache node that takes work has been known since the start.
     has_been_ready: bool,
     /// Whether the instance was in phase `Stopped` at the last sweep.
     was_stopped: bool,
@@ -109,7 +110,7 @@
 }
 
 impl Proxy {
-    /// Opens the listeners, and gives the balancer the list of boxes from the configuration.
+    /// Opens the listeners, and gives the balancer the list of cache nodes from the configuration.
     ///
     /// # Errors
     /// An address cannot be listened on, or a file or value named in the operator's file cannot be used.
@@ -305,7 +306,8 @@
         }
     }
 
-    /// Reads from clients, and writes to those that can take more of their answers.
+    /// Writes to clients that can take more of their answers, and reads from clients. The clock is read again for each socket,
+    /// as in [`Proxy::read_nodes`].
     fn read_clients(&mut self, events: &Events) {
         for key in self.clients.take_again() {
             self.clients.read(key, true, &self.config, &mut self.buffer, self.event_loop.now);
@@ -388,7 +390,7 @@
         }
     }
 
-    /// Applies a list update to the boxes. Returns its entries for the balancer.
+    /// Applies an update of the list of cache nodes. Returns its entries for the balancer.
     fn apply_list(&mut self, update: discovery::News) -> Vec<ServerEntry> {
         self.boxes.apply_list(&update, self.event_loop.now);
         self.update_candidates();
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -39,7 +39,7 @@
             return;
         }
         let (arrived, now) = (self.event_loop.earliest_arrival, self.event_loop.now);
-        match self.requests.arrive(id, slot, query, arrived, now) {
+        match self.requests.insert(id, slot, query, arrived, now) {
             None => self.write_answer(slot, class, Answer::IdInUse, FinalResult::Failed),
             Some((request, deadline)) => {
                 self.event_loop.timers.set(deadline, TimerEvent::RequestDeadline(id));
@@ -101,17 +101,17 @@
             self.end_attempt(id, attempt, Status::NotSent);
             return;
         }
-        let mut until = started.deadline;
-        if timeout > 0 && now + timeout < until {
-            until = now + timeout;
-            self.event_loop.timers.set(until, TimerEvent::AttemptTimeout(id, attempt));
+        let mut deadline = started.deadline;
+        if timeout > 0 && now + timeout < deadline {
+            deadline = now + timeout;
+            self.event_loop.timers.set(deadline, TimerEvent::AttemptTimeout(id, attempt));
         }
         let class = self.config.settings.classes.get(started.query.class as usize);
         let latency_target = class.map_or(0, |c| c.latency_target);
         let target = started.deadline.saturating_sub(started.query.timeout) + latency_target;
-        let aim = if latency_target == 0 { until } else { target.min(until) };
-        let job = QueuedAttempt { id, attempt, query: started.query, target: aim, deadline: until };
-        if let Some((connection, new)) = self.boxes.send(server, job, now) {
+        let target = if latency_target == 0 { deadline } else { target.min(deadline) };
+        let queued = QueuedAttempt { id, attempt, query: started.query, target, deadline };
+        if let Some((connection, new)) = self.boxes.send(server, queued, now) {
             self.assign_connection(id, attempt, connection, new);
         }
     }
@@ -140,11 +140,11 @@
     pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, mut status: Status) {
         let Some(a) = self.requests.attempt(id, attempt) else { return };
         if let Some(connection) = a.connection {
-            let given_up = AbandonedAttempt { sent_at: a.sent, timed_out: status == Status::Timeout };
+            let abandoned = AbandonedAttempt { sent_at: a.sent, timed_out: status == Status::Timeout };
             if status == Status::Timeout && !self.boxes.is_written(connection, id, attempt) {
                 status = Status::ConnectFailed;
             }
-            if !self.boxes.cancel(connection, id, attempt, given_up, self.event_loop.now) {
+            if !self.boxes.cancel(connection, id, attempt, abandoned, self.event_loop.now) {
                 // The connection has already reported the attempt's outcome, which is still in the queue.
                 return;
             }
@@ -171,11 +171,11 @@
                     self.shadow_served(&query, &reply, &bytes, took);
                 }
             }
-            boxes::NodeEvent::ValueStarted(id, attempt, connection, shape, length) => {
+            boxes::NodeEvent::ValueStarted(id, attempt, connection, format, length) => {
                 // If the attempt has been cancelled since, another one may be answering the request.
                 if self.requests.attempt(id, attempt).is_some() {
                     let shadowed = self.query_to_shadow(id);
-                    self.start_stream(id, connection, shape, length);
+                    self.start_stream(id, connection, format, length);
                     if let Some(query) = shadowed {
                         self.shadow_long_value(&query, length);
                     }
@@ -217,7 +217,7 @@
 
     /// Gives a request its one final answer; later ones are ignored.
     fn answer(&mut self, id: RequestId, answer: Answer<'_>, result: FinalResult) {
-        let Some((slot, class)) = self.requests.answer(id) else { return };
+        let Some((slot, class)) = self.requests.mark_answered(id) else { return };
         self.write_answer(slot, class, answer, result);
         self.requests.retire(id);
     }
@@ -243,7 +243,7 @@
     /// Handles a client that has shut down its sending side. It may still be waiting for the answer, or may have left
     /// and want nothing more done. Open attempts are therefore left to finish, and no further one is sent.
     fn client_left(&mut self, id: RequestId) {
-        if self.requests.client_left(id) {
+        if self.requests.mark_client_left(id) {
             self.pending_events.push_back(Event::Abandoned(id));
         }
     }
@@ -251,7 +251,7 @@
     /// Cancels and retires a request whose client has disconnected.
     fn client_gone(&mut self, id: RequestId) {
         self.cancel_stream(id);
-        if self.requests.answer(id).is_none() {
+        if self.requests.mark_answered(id).is_none() {
             return;
         }
         self.observers.notify(Notification::Abandoned);
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -270,7 +270,7 @@
     /// Adds a request that may have arrived as early as `arrived`. Returns the event for the balancer and the
     /// request's deadline, or nothing if another open request has the same id: cache nodes would treat a second
     /// request under an open id as a copy of the first.
-    pub fn arrive(
+    pub fn insert(
         &mut self,
         id: RequestId,
         slot: ReplySlot,
@@ -359,7 +359,7 @@
 
     /// Records that the client sends nothing more, so that no attempt is sent for the request. Returns false if the
     /// request is already answered or not open.
-    pub fn client_left(&mut self, id: RequestId) -> bool {
+    pub fn mark_client_left(&mut self, id: RequestId) -> bool {
         let open = self.open.get_mut(&id).filter(|o| !o.answered);
         open.map(|o| o.client_left = true).is_some()
     }
@@ -371,7 +371,7 @@
 
     /// Marks a request as answered. Returns where the answer goes and the request's class, or nothing if it was
     /// answered before.
-    pub fn answer(&mut self, id: RequestId) -> Option<(ReplySlot, u32)> {
+    pub fn mark_answered(&mut self, id: RequestId) -> Option<(ReplySlot, u32)> {
         let open = self.open.get_mut(&id).filter(|o| !o.answered)?;
         open.answered = true;
         Some((open.slot, open.query.class))
@@ -404,17 +404,17 @@
     fn a_request_is_answered_once_and_no_attempt_is_sent_after_the_answer() {
         let config = crate::platform::config::tests::sample();
         let (mut table, slot) = (RequestTable::default(), ReplySlot { client: 3, number: 9 });
-        let (request, deadline) = table.arrive(1, slot, query(&config), 0, MS).expect("accepted");
+        let (request, deadline) = table.insert(1, slot, query(&config), 0, MS).expect("accepted");
         assert_eq!((request.remaining, deadline), (489 * MS, 490 * MS));
         // A second request with the same client id is not accepted while the first is open.
-        assert!(table.arrive(2, slot, query(&config), 0, MS).is_none());
+        assert!(table.insert(2, slot, query(&config), 0, MS).is_none());
         let first = table.start_attempt(1, 7, 2, MS).expect("started");
         assert_eq!((first.number, first.is_moot), (0, false));
         table.set_connection(1, 0, 5);
         assert_eq!(table.attempt(1, 0).and_then(|a| a.connection), Some(5));
-        assert_eq!(table.answer(1), Some((slot, 0)));
-        assert_eq!(table.answer(1), None);
-        assert!(!table.client_left(1) && !table.is_unanswered(1) && !table.is_orphaned(1));
+        assert_eq!(table.mark_answered(1), Some((slot, 0)));
+        assert_eq!(table.mark_answered(1), None);
+        assert!(!table.mark_client_left(1) && !table.is_unanswered(1) && !table.is_orphaned(1));
         assert!(table.start_attempt(1, 7, 2, MS).is_some_and(|a| a.is_moot));
         table.retire(1);
         assert_eq!((table.len(), table.unanswered(), table.open_attempts(1)), (1, 0, vec![0, 1]));
@@ -425,7 +425,7 @@
         );
         table.retire(1);
         assert_eq!(table.len(), 0);
-        assert!(table.arrive(2, slot, query(&config), 0, MS).is_some());
+        assert!(table.insert(2, slot, query(&config), 0, MS).is_some());
     }
 
     #[test]
@@ -434,8 +434,8 @@
         let slot = ReplySlot { client: 0, number: 0 };
         let start = |max_attempts: u32, now: Nanos, left: bool| {
             let mut table = RequestTable::default();
-            table.arrive(1, slot, query(&config), 0, 0).expect("accepted");
-            assert!(!left || table.client_left(1));
+            table.insert(1, slot, query(&config), 0, 0).expect("accepted");
+            assert!(!left || table.mark_client_left(1));
             let is_moot = table.start_attempt(1, 7, max_attempts, now).expect("started").is_moot;
             assert!(!table.is_orphaned(1) && table.end_attempt(1, 0).is_some());
             (is_moot, table.is_orphaned(1))
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -4,7 +4,7 @@
 //! for that of the next copy.
 //!
 //! All of this runs at the end of an iteration of the event loop, after live answers and attempts are written. A copy
-//! is not an attempt: the balancer, the metrics of the boxes and the clients are not affected by it.
+//! is not an attempt: the balancer, the statistics of the live boxes and the clients are not affected by it.
 
 use crate::event_loop::Source;
 use crate::platform::config::Config;
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -40,11 +40,11 @@
         &mut self,
         id: RequestId,
         connection: usize,
-        shape: BodyFormat,
+        format: BodyFormat,
         length: usize,
     ) {
-        let Some((slot, class)) = self.requests.answer(id) else { return };
-        self.clients.begin(slot, shape, length);
+        let Some((slot, class)) = self.requests.mark_answered(id) else { return };
+        self.clients.begin(slot, format, length);
         self.streamed_values.0.insert(id, StreamedValue { slot, class, connection });
     }
 
