--- a/crates/resp/tests/frames.rs
+++ b/crates/resp/tests/frames.rs
@@ -15,7 +15,7 @@
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
             let (used, frame) = frames.feed(piece)?;
-            assert!(used > 0, "no progress");
+            assert!(used > 0, "no input was taken");
             all.extend(frame);
             piece = &piece[used..];
         }
@@ -133,12 +133,12 @@
         frame in frames().prop_filter("supported by the other decoder", is_supported_by_other),
     ) {
         let bytes = encoded(&frame, Protocol::Three);
-        let (back, used) = other_decode(&bytes).expect("decodes").expect("whole");
+        let (back, used) = other_decode(&bytes).expect("valid").expect("complete");
         prop_assert_eq!(used, bytes.len());
         prop_assert!(is_equal_to_other(&frame, &back), "{:?} {:?}", frame, back);
         // The RESP2 form is valid for the other decoder's RESP2 parser.
         let bytes = encoded(&frame, Protocol::Two);
-        let back = redis_protocol::resp2::decode::decode(&bytes).expect("decodes").expect("whole");
+        let back = redis_protocol::resp2::decode::decode(&bytes).expect("valid").expect("complete");
         prop_assert_eq!(back.1, bytes.len());
     }
 
@@ -156,15 +156,15 @@
         }
         let limits = Limits { max_depth: 6, max_elements: 64, max_blob_bytes: 512, max_total_bytes: 1 << 10 };
         let whole = read(&[&bytes], limits);
-        let cut = read(&split(&bytes, &cuts), limits);
+        let pieces = read(&split(&bytes, &cuts), limits);
         // Compared as text, since NaN is not equal to itself.
-        prop_assert_eq!(format!("{cut:?}"), format!("{whole:?}"));
+        prop_assert_eq!(format!("{pieces:?}"), format!("{whole:?}"));
         // The parser of HELLO replies and the reply reader do not panic on the same input.
         let _ = HelloReplyParser::default().feed(&bytes);
         let mut reader = ReplyReader::new(Protocol::Three);
-        let mut left = &bytes[..];
-        while let (false, Ok((used, _))) = (left.is_empty(), reader.feed(left)) {
-            left = &left[used..];
+        let mut rest = &bytes[..];
+        while let (false, Ok((used, _))) = (rest.is_empty(), reader.feed(rest)) {
+            rest = &rest[used..];
         }
     }
 }
@@ -183,8 +183,8 @@
     );
     let attributes =
         vec![(Frame::SimpleString(b"ttl".to_vec()), Frame::Integer(3)), (text("a"), Frame::Null)];
-    let both = b"*1\r\n|1\r\n+ttl\r\n:3\r\n|1\r\n$1\r\na\r\n_\r\n$1\r\nv\r\n";
-    assert_eq!(read_one(both), Ok(Frame::Array(vec![Frame::Attribute(attributes, Box::new(text("v")))])));
+    let input = b"*1\r\n|1\r\n+ttl\r\n:3\r\n|1\r\n$1\r\na\r\n_\r\n$1\r\nv\r\n";
+    assert_eq!(read_one(input), Ok(Frame::Array(vec![Frame::Attribute(attributes, Box::new(text("v")))])));
     assert_eq!(read_one(b",-inf\r\n"), Ok(Frame::Double(f64::NEG_INFINITY)));
     assert!(matches!(read_one(b",nan\r\n"), Ok(Frame::Double(d)) if d.is_nan()));
     assert_eq!(read_one(b"*-1\r\n"), Ok(Frame::Null));
@@ -194,7 +194,7 @@
 #[test]
 fn pushes_are_not_elements_of_the_frames_around_them() {
     let push = ">2\r\n+invalidate\r\n*1\r\n$1\r\nk\r\n";
-    let around = |head: &str, tail: &str| format!("{head}{push}{tail}");
+    let with_push = |head: &str, tail: &str| format!("{head}{push}{tail}");
     for (head, tail) in [
         ("", "$1\r\nv\r\n"),
         ("*2\r\n$1\r\nv\r\n", ":1\r\n"),
@@ -204,9 +204,9 @@
         ("$?\r\n;1\r\nv\r\n", ";0\r\n"),
         ("*?\r\n:1\r\n", ".\r\n"),
     ] {
-        let with = read(&[around(head, tail).as_bytes()], Limits::default()).expect(head);
-        assert!(matches!(&with[0], Frame::Push(elements) if elements.len() == 2), "{with:?}");
-        assert_eq!(with[1..], [read_one(format!("{head}{tail}").as_bytes()).expect("whole")]);
+        let frames = read(&[with_push(head, tail).as_bytes()], Limits::default()).expect(head);
+        assert!(matches!(&frames[0], Frame::Push(elements) if elements.len() == 2), "{frames:?}");
+        assert_eq!(frames[1..], [read_one(format!("{head}{tail}").as_bytes()).expect("valid")]);
     }
     // Inside a blob string the bytes of a push are data.
     let data = format!("${}\r\n{push}\r\n", push.len());
@@ -386,10 +386,10 @@
 fn a_hello_reply_names_a_protocol_or_is_an_error() {
     let map = b"%2\r\n+server\r\n+box\r\n+proto\r\n:3\r\n*3\r\n";
     for cut in 0..map.len() {
-        let mut greeting = HelloReplyParser::default();
-        let first = greeting.feed(&map[..cut]).expect("reads");
-        let told = first.1.or_else(|| greeting.feed(&map[cut..]).expect("reads").1);
-        assert_eq!(told, Some(Ok(Protocol::Three)));
+        let mut parser = HelloReplyParser::default();
+        let first = parser.feed(&map[..cut]).expect("reads");
+        let outcome = first.1.or_else(|| parser.feed(&map[cut..]).expect("reads").1);
+        assert_eq!(outcome, Some(Ok(Protocol::Three)));
     }
     let feed = |text: &str| HelloReplyParser::default().feed(text.as_bytes());
     assert_eq!(feed("-NOPROTO no\r\n*3"), Ok((13, Some(Err(b"NOPROTO no".to_vec())))));
--- a/crates/resp/tests/long.rs
+++ b/crates/resp/tests/long.rs
@@ -21,7 +21,7 @@
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
             let (used, message) = reader.feed(piece)?;
-            assert!(used > 0, "no progress");
+            assert!(used > 0, "no input was taken");
             piece = &piece[used..];
             match message {
                 Some(ServerMessage::Part(part)) => {
@@ -129,7 +129,7 @@
     // Enough memory for one and a half values.
     let budget = MemoryBudget::new(value.len() * 3 / 2);
     let (mut first, mut second) = (CommandParser::new(budget.clone()), CommandParser::new(budget));
-    let held = first.feed(&command).expect("parses").1.expect("whole");
+    let stored = first.feed(&command).expect("parses").1.expect("complete");
     let (used, command_read) = second.feed(&command).expect("parses");
     assert!(
         command_read.is_none()
@@ -138,11 +138,11 @@
             && !second.retry_reservation()
     );
     assert_eq!(second.feed(&command[used..]).map(|(n, c)| (n, c.is_some())), Ok((0, false)));
-    drop(held);
+    drop(stored);
     assert!(second.retry_reservation());
-    let whole = second.feed(&command[used..]).expect("parses").1.expect("whole");
-    assert!(whole.is_complete() && whole.arg(4) == value);
+    let delayed = second.feed(&command[used..]).expect("parses").1.expect("complete");
+    assert!(delayed.is_complete() && delayed.arg(4) == value);
     // A value larger than the whole budget is read and dropped, so that the command can be refused.
     let mut small = CommandParser::new(MemoryBudget::new(MAX_BUFFERED_VALUE_BYTES));
-    assert!(!small.feed(&command).expect("parses").1.expect("whole").is_complete());
+    assert!(!small.feed(&command).expect("parses").1.expect("complete").is_complete());
 }
--- a/crates/resp/tests/parsers.rs
+++ b/crates/resp/tests/parsers.rs
@@ -15,7 +15,7 @@
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
             let (used, command) = parser.feed(piece)?;
-            assert!(used > 0, "no progress");
+            assert!(used > 0, "no input was taken");
             all.extend(command.map(|c| (0..c.arity()).map(|i| c.arg(i).to_vec()).collect()));
             piece = &piece[used..];
         }
@@ -28,7 +28,7 @@
     for mut piece in pieces.iter().copied() {
         while !piece.is_empty() {
             let (used, reply) = parser.feed(piece)?;
-            assert!(used > 0, "no progress");
+            assert!(used > 0, "no input was taken");
             assert!(reply.is_none() || !parser.in_progress());
             all.extend(reply);
             piece = &piece[used..];
@@ -103,15 +103,15 @@
     let budget = MemoryBudget::new(10_000);
     let mut args = vec![b"x".to_vec(); VALUE_INDEX];
     args.push(vec![b'x'; 8_000]);
-    let big = encode(&args);
+    let input = encode(&args);
     let mut first = CommandParser::new(budget.clone());
     let mut second = CommandParser::new(budget.clone());
-    let held = first.feed(&big).expect("parses").1.expect("whole");
-    assert!(held.is_complete() && held.arg(VALUE_INDEX).len() == 8_000);
-    let refused = second.feed(&big).expect("parses").1.expect("whole");
+    let stored = first.feed(&input).expect("parses").1.expect("complete");
+    assert!(stored.is_complete() && stored.arg(VALUE_INDEX).len() == 8_000);
+    let refused = second.feed(&input).expect("parses").1.expect("complete");
     assert!(!refused.is_complete() && refused.arity() == VALUE_INDEX + 1);
-    drop(held);
-    assert!(second.feed(&big).expect("parses").1.expect("whole").is_complete());
+    drop(stored);
+    assert!(second.feed(&input).expect("parses").1.expect("complete").is_complete());
 }
 
 #[test]
--- a/crates/session/tests/session.rs
+++ b/crates/session/tests/session.rs
@@ -7,7 +7,7 @@
     let mut bytes = Vec::new();
     Frame::Array(words.iter().map(Frame::bulk_string).collect()).write(Protocol::Two, &mut bytes);
     let mut parser = CommandParser::new(MemoryBudget::new(1 << 20));
-    parser.feed(&bytes).expect("reads").1.expect("whole")
+    parser.feed(&bytes).expect("valid").1.expect("complete")
 }
 
 struct Client {
