--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -272,7 +272,7 @@
 fn plan(config: &Path, candidates: u32, count: u32) -> Result<(Vec<Step>, usize), String> {
     let text = std::fs::read_to_string(config).map_err(|e| format!("{}: {e}", config.display()))?;
     let config = Config::parse(&text, |_| None).map_err(|e| format!("{}: {e}", config.display()))?;
-    let live = config.known.as_ref().map_or(0, |k| k.hosts.len());
+    let live = config.known_list.as_ref().map_or(0, |k| k.hosts.len());
     if live == 0 {
         return Err("the configuration knows no live boxes; take one that a proxy was started with".into());
     }
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::places::Places;
 use crate::platform::config::Config;
-use crate::platform::discovery::{Names, News as List};
+use crate::platform::discovery::{ListUpdate, TopologyNames};
 use crate::turn::Source;
 use addresses::{Address, AddressId, ConnectionRace};
 use calicosaddle::api::{Nanos, RequestId, ServerId, ServerState, Status};
@@ -87,7 +87,7 @@
 /// # Errors
 /// A line for each key that goes past these: the key, its value and the bound.
 pub fn pipes(told: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
-    let most = config.streams;
+    let most = config.max_streams;
     let over = |(key, depth): &(&str, Option<usize>)| {
         let depth = depth.filter(|d| *d > most)?;
         Some(format!("pipeline.{key}: is {depth}; settings.caps.streams_per_conn allows {most}"))
@@ -266,7 +266,7 @@
         let learned = self.pipes.settle_delay;
         self.pipes = pipes(&self.told, config).unwrap_or(self.pipes);
         self.pipes.settle_delay = self.pipes.settle_delay.with_learned(learned);
-        self.stated = (config.idle as f64 * IDLE_PART) as Nanos;
+        self.stated = (config.connection_idle_timeout as f64 * IDLE_PART) as Nanos;
         self.fresh = self.rests.fresh(self.stated);
     }
 
@@ -334,7 +334,7 @@
     }
 
     /// The nodes in discovery's form, by name.
-    pub fn hosts(&self, names: &Names) -> Vec<Value> {
+    pub fn hosts(&self, names: &TopologyNames) -> Vec<Value> {
         let there = |n: &&Node| n.entry.state != ServerState::Removed && !n.book.is_empty();
         let mut all: Vec<&Node> = self.nodes.values().filter(there).collect();
         all.sort_unstable_by(|a, b| a.name.cmp(&b.name));
@@ -344,7 +344,7 @@
             let dials: Vec<String> = n.book.addresses().map(Address::to_string).collect();
             let dial = n.book.addresses().find(|a| matches!(a, Address::Tcp(_))).map(Address::to_string);
             let mut host = json!({"host": n.name, "dial": dial, "site": name(&names.zones, e.zone),
-                "class": name(&names.kinds, e.kind), "block": e.cell, "health": word(e.state),
+                "class": name(&names.machine_kinds, e.kind), "block": e.cell, "health": word(e.state),
                 "share": e.weight, "born_ms": e.started_at / MS});
             if dials.len() != 1 || dial.is_none() {
                 host["dials"] = json!(dials);
@@ -410,8 +410,8 @@
     }
 
     /// Takes what discovery told.
-    pub fn list(&mut self, list: &List, now: Nanos) {
-        if list.whole {
+    pub fn list(&mut self, list: &ListUpdate, now: Nanos) {
+        if list.full {
             let named: FxHashSet<ServerId> = list.hosts.iter().map(|h| h.entry.server).collect();
             let left: Vec<ServerId> = self.nodes.keys().copied().filter(|id| !named.contains(id)).collect();
             for id in left {
@@ -428,10 +428,11 @@
             let new = || Node::new(host.name.clone(), e.clone(), withdrawn);
             let node = self.nodes.entry(e.server).or_insert_with(new);
             // Idle connections to a place or a process that the node has left serve nobody.
-            let told = !host.dials.is_empty() || e.state != ServerState::Removed;
-            let moved = (told && node.book.update(&host.dials, now)) || node.entry.started_at != e.started_at;
-            if moved && !host.faults.is_empty() {
-                eprintln!("{}: addresses dropped: {}", host.name, host.faults.join("; "));
+            let told = !host.addresses.is_empty() || e.state != ServerState::Removed;
+            let moved =
+                (told && node.book.update(&host.addresses, now)) || node.entry.started_at != e.started_at;
+            if moved && !host.invalid_addresses.is_empty() {
+                eprintln!("{}: addresses dropped: {}", host.name, host.invalid_addresses.join("; "));
             }
             node.entry = e.clone();
             node.mark(now);
@@ -1011,14 +1012,19 @@
 
     fn host(entry: ServerEntry, listener: &TcpListener) -> Host {
         let address = listener.local_addr().expect("an address");
-        Host { name: "s-7".into(), entry, dials: vec![Address::Tcp(address)], faults: Vec::new() }
+        Host {
+            name: "s-7".into(),
+            entry,
+            addresses: vec![Address::Tcp(address)],
+            invalid_addresses: Vec::new(),
+        }
     }
 
     /// Before one node, 7, that this listener stands for.
     fn before(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
         let mut boxes = made(&sample(), poll);
         let hosts = vec![host(ServerEntry { server: 7, ..ServerEntry::default() }, listener)];
-        boxes.list(&List { version: 1, whole: true, hosts }, 0);
+        boxes.list(&ListUpdate { version: 1, full: true, hosts }, 0);
         boxes
     }
 
@@ -1155,8 +1161,8 @@
         let poll = mio::Poll::new().expect("a poll");
         let mut boxes = made(&sample(), &poll);
         let mut host = host(ServerEntry { server: 7, ..ServerEntry::default() }, &listener);
-        host.dials.insert(0, Address::Tcp(at));
-        boxes.list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
+        host.addresses.insert(0, Address::Tcp(at));
+        boxes.list(&ListUpdate { version: 1, full: true, hosts: vec![host] }, 0);
         let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, job(&sample()), 0)).collect();
         assert_eq!((keys.len(), boxes.rivals), (4, 0));
         for (key, begun) in &keys {
--- a/crates/proxy/src/copies.rs
+++ b/crates/proxy/src/copies.rs
@@ -66,8 +66,8 @@
         (None, None) => Tenants::All,
     };
     for (i, candidate) in told.candidates.iter().enumerate() {
-        let hosts = config.known.iter().flat_map(|k| &k.hosts);
-        if let Some(host) = hosts.into_iter().find(|h| h.dials.iter().any(|d| is(d, *candidate))) {
+        let hosts = config.known_list.iter().flat_map(|k| &k.hosts);
+        if let Some(host) = hosts.into_iter().find(|h| h.addresses.iter().any(|d| is(d, *candidate))) {
             faults.push(format!("shadow.candidates[{i}]: {candidate} is the live box {:?}", host.name));
         }
     }
@@ -495,7 +495,7 @@
     pub(crate) fn sweep_copies(&mut self, late: Nanos) {
         let Some(copies) = &mut self.copies else { return };
         let counters = self.observers.counters;
-        let room = self.config.max_open;
+        let room = self.config.max_open_requests;
         let vitals = Vitals { loop_delay: late, open: self.requests.len(), room, ..Vitals::default() };
         copies.sweep(vitals, [counters.served, counters.refused], self.turn.now);
         self.keep_copies();
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -81,7 +81,7 @@
                     let message = format!("limit is {limit}; 1 to {MAX_PAGE} is allowed");
                     return Err(Error::new(Code::BadRequest, message));
                 }
-                let zones = &self.config.names.zones;
+                let zones = &self.config.topology.zones;
                 let (boxes, more) = self.boxes.page(&after, limit, false, zones, self.turn.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
@@ -105,8 +105,8 @@
 
     /// The list, as the next process may begin with it. Its version is discovery's.
     fn known(&self) -> Value {
-        let Some(version) = self.discovery.known().0 else { return Value::Null };
-        let hosts = self.boxes.hosts(&self.config.names);
+        let Some(version) = self.discovery.last_list().0 else { return Value::Null };
+        let hosts = self.boxes.hosts(&self.config.topology);
         // Danger: an answer past the frame's bound would end the connection.
         if hosts.len() > MAX_REPLY / 512 {
             return Value::Null;
@@ -189,10 +189,10 @@
             let (moved, settings) =
                 (new.discovery != self.config.discovery, new.settings != self.config.settings);
             new.generation = generation;
-            self.config.take(new);
+            self.config.apply(new);
             self.discovery.configure((&self.config.settings).into());
             self.boxes.configure(&self.config);
-            self.gates = Gates::new(self.config.max_open);
+            self.gates = Gates::new(self.config.max_open_requests);
             self.copies.iter_mut().for_each(|c| c.proxies(&self.config));
             if settings {
                 self.events.push_back(Event::Settings(Box::new(self.config.settings.clone())));
@@ -242,7 +242,7 @@
     }
 
     pub(crate) fn status(&self) -> Status {
-        let (version, heard) = self.discovery.known();
+        let (version, heard) = self.discovery.last_list();
         let since = |at: Nanos| self.turn.now.saturating_sub(at) / MS;
         let (boxes, usable, connections, attempts) = self.boxes.counts();
         let mut counters = self.observers.counters;
@@ -268,7 +268,7 @@
             connections,
             counters,
             pipelines: self.boxes.pipelines(self.turn.now),
-            leaving: self.boxes.page("", MAX_PAGE, true, &self.config.names.zones, self.turn.now).0,
+            leaving: self.boxes.page("", MAX_PAGE, true, &self.config.topology.zones, self.turn.now).0,
         }
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -32,7 +32,7 @@
 use mio::Events;
 use path::{Gates, Observers, Told};
 use places::Places;
-use platform::discovery::{self, Answer, Discovery};
+use platform::discovery::{Discovery, ListUpdate, PollResult};
 use platform::inherited;
 use platform::signals::Signals;
 use request::Table;
@@ -104,14 +104,14 @@
         mut config: Config,
         operator: &operator::Operator,
     ) -> Result<Self, Box<dyn std::error::Error>> {
-        let inherited = config.inherited.as_deref().map(inherited::take).transpose()?;
+        let inherited = config.inherited_listener.as_deref().map(inherited::take_listener).transpose()?;
         let turn = Turn::new()?;
         let (registry, now) = (turn.registry(), turn.now);
         let signals = Signals::listen(registry, Source::Terminate.token(), Source::Hangup.token())?;
         let controllers = operator.control.as_ref().map_or(0, |c| c.max_connections + 1);
         let copies = operator.shadow.as_ref().map_or(0, |s| s.connections);
         let reserved = RESERVED + controllers + copies + config.admin.map_or(0, |_| admin::PLACES + 1);
-        let places = Places::new(config.sockets, reserved);
+        let places = Places::new(config.max_descriptors, reserved);
         let memory = ((config.memory_mb << 20) / MEMORY_PART) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
         let hello = boxes::hello(&operator.boxes)?;
@@ -136,7 +136,7 @@
         let copies = operator.shadow.as_ref().zip(shadow);
         let copies =
             copies.map(|(told, settings)| Copies::new(told, settings, &config, kept.state.shadow, now));
-        let known = config.known.take();
+        let known = config.known_list.take();
         let version = known.as_ref().map(|k| k.version);
         let calls = std::array::from_fn(|call| Source::Discovery(call).token());
         let mut proxy = Proxy {
@@ -146,7 +146,7 @@
             requests: Table::default(),
             passing: passing::Passing::default(),
             places,
-            gates: Gates::new(config.max_open),
+            gates: Gates::new(config.max_open_requests),
             observers: Observers::default(),
             boxes: Boxes::new(&config, places.for_nodes(0), registry.try_clone()?, operator, hello),
             discovery: Discovery::new(&config, version, now, calls),
@@ -200,7 +200,7 @@
             let calls = self.admin.as_ref().is_some_and(Admin::has_more);
             let more = self.clients.has_more() || self.boxes.has_more() || calls;
             let work = self.control.as_ref().and_then(Endpoint::work).into_iter().chain(self.boxes.due());
-            let work = work.chain([self.discovery.due()]).min();
+            let work = work.chain([self.discovery.next_wakeup()]).min();
             if self.turn.wait(&mut events, work, more)? {
                 self.turn(&events);
             }
@@ -230,7 +230,7 @@
             self.settle();
         }
         self.run_timers();
-        let began = self.discovery.run(self.turn.registry(), self.turn.now);
+        let began = self.discovery.start_due_poll(self.turn.registry(), self.turn.now);
         self.discovered(began);
         self.write();
         for event in events {
@@ -241,7 +241,8 @@
                 Source::Admin => self.admin.iter_mut().for_each(Admin::knocked),
                 Source::Control => self.control.iter_mut().for_each(Endpoint::knocked),
                 Source::Discovery(_) => {
-                    let answer = self.discovery.ready(self.turn.registry(), event.token(), self.turn.now);
+                    let answer =
+                        self.discovery.handle_ready(self.turn.registry(), event.token(), self.turn.now);
                     self.discovered(answer);
                 }
                 Source::Client(_)
@@ -323,16 +324,16 @@
 
     // ---- discovery ----
 
-    fn discovered(&mut self, answer: Option<Answer>) {
+    fn discovered(&mut self, answer: Option<PollResult>) {
         match answer {
             None => {}
-            Some(Answer::News(news)) => {
+            Some(PollResult::Update(news)) => {
                 self.discovery_failed = false;
-                let kind = if news.whole { ListKind::Full } else { ListKind::Delta };
+                let kind = if news.full { ListKind::Full } else { ListKind::Delta };
                 let entries = self.take_list(news);
                 self.events.push_back(Event::ServerList { kind, entries });
             }
-            Some(Answer::Failed(e)) => {
+            Some(PollResult::Failed(e)) => {
                 let row = std::mem::replace(&mut self.discovery_failed, true);
                 // Only the first failure of a row is logged.
                 (!row).then(|| eprintln!("discovery: {e}"));
@@ -340,7 +341,7 @@
         }
     }
 
-    fn take_list(&mut self, news: discovery::News) -> Vec<ServerEntry> {
+    fn take_list(&mut self, news: ListUpdate) -> Vec<ServerEntry> {
         self.boxes.list(&news, self.turn.now);
         self.look_for_candidates();
         self.observers.tell(Told::List);
@@ -353,7 +354,7 @@
     ///
     /// Danger: versions of one discovery mean nothing to another, so the new one is asked for its whole list.
     fn reload(&mut self) {
-        self.signals.hung_up();
+        self.signals.clear_hangup();
         match Config::from_env() {
             Err(e) => eprintln!("reload: {e}; the configuration stays as it was"),
             Ok(new) if new.discovery == self.config.discovery => {
@@ -368,7 +369,7 @@
     }
 
     fn discovery_moved(&mut self) {
-        self.discovery.moved(self.config.discovery, self.turn.now);
+        self.discovery.change_address(self.config.discovery, self.turn.now);
         self.discovery_failed = false;
     }
 
@@ -394,7 +395,7 @@
                         // What clients leave, nodes may have again.
                         self.boxes.make_room(self.places, self.clients.count());
                     }
-                    let answer = self.discovery.sweep(self.turn.registry(), self.turn.now);
+                    let answer = self.discovery.expire_polls(self.turn.registry(), self.turn.now);
                     self.discovered(answer);
                     self.stop();
                     self.admin.iter_mut().for_each(|a| a.sweep(self.turn.now));
@@ -409,7 +410,7 @@
     // ---- the end ----
 
     fn signalled(&mut self) {
-        self.signals.terminated();
+        self.signals.clear_terminate();
         // What is copied ends with the process, at once.
         self.copies = None;
         self.stopping.get_or_insert(self.turn.now);
@@ -431,7 +432,8 @@
 
     fn done(&self) -> bool {
         self.stopping.is_some_and(|at| {
-            (self.closed && self.clients.is_empty()) || self.turn.now >= at + self.config.longest + LAST_CALL
+            (self.closed && self.clients.is_empty())
+                || self.turn.now >= at + self.config.max_deadline + LAST_CALL
         })
     }
 }
--- a/crates/proxy/src/life.rs
+++ b/crates/proxy/src/life.rs
@@ -213,7 +213,7 @@
             elapsed: self.turn.now.saturating_sub(a.sent),
             request_complete: false,
             hit: reply.hit(),
-            load_report: load(&reply.load, &self.config.columns),
+            load_report: load(&reply.load, &self.config.load_report_columns),
         }));
         // The module is no longer concerned with it, and nothing is under way for it.
         if self.requests.stranded(id) {
--- a/crates/proxy/src/platform/config.rs
+++ b/crates/proxy/src/platform/config.rs
@@ -1,6 +1,6 @@
 //! What a proxy is told at its start: NODE_CONFIG, and the variables that repeat parts of it.
 
-use super::discovery::{self, Names, News};
+use super::discovery::{self, ListUpdate, TopologyNames};
 use super::inherited;
 use calicosaddle::api::{Nanos, Settings};
 
@@ -48,7 +48,7 @@
     /// Where operators call, if anywhere.
     pub admin: Option<SocketAddr>,
     /// The descriptor of the listening socket for clients, where the platform keeps that.
-    pub inherited: Option<String>,
+    pub inherited_listener: Option<String>,
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// The module's source of chance.
@@ -56,7 +56,7 @@
     /// Over this the proxy is killed.
     pub memory_mb: u64,
     /// File descriptors that it may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The module's settings.
     pub settings: Settings,
     /// Names of classes, as clients give them.
@@ -64,21 +64,21 @@
     /// Names of tenants.
     pub tenants: Vec<String>,
     /// Names that discovery uses.
-    pub names: Names,
+    pub topology: TopologyNames,
     /// Columns of load reports, as cache nodes name them.
-    pub columns: Vec<String>,
+    pub load_report_columns: Vec<String>,
     /// Requests that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// Requests that a connection to a cache node carries at once.
-    pub streams: usize,
+    pub max_streams: usize,
     /// A cache node closes a connection that was idle for so long.
-    pub idle: Nanos,
+    pub connection_idle_timeout: Nanos,
     /// The longest time that a client waits.
-    pub longest: Nanos,
+    pub max_deadline: Nanos,
     /// The list as this proxy last had it.
-    pub known: Option<News>,
+    pub known_list: Option<ListUpdate>,
     /// The text of the operator's file that an agent gives this proxy with its configuration. It is read at start.
-    pub operator: Option<String>,
+    pub operator_file: Option<String>,
 }
 
 impl Config {
@@ -116,7 +116,10 @@
             return Err(ConfigError::Bad("a category has no deadline_ns".into()));
         }
         let seed = json["seed"].as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
-        let names = Names { zones: strings(&told["localities"]), kinds: strings(&told["machine_types"]) };
+        let names = TopologyNames {
+            zones: strings(&told["localities"]),
+            machine_kinds: strings(&told["machine_types"]),
+        };
         let known = match &json["known"] {
             Value::Null => None,
             list => {
@@ -132,22 +135,22 @@
             generation: json["generation"].as_u64().unwrap_or(0),
             listen: address("listen", "NODE_LISTEN")?,
             admin: admin.transpose()?,
-            inherited: variable(inherited::VARIABLE).filter(|d| !d.is_empty()),
+            inherited_listener: variable(inherited::DESCRIPTOR_VARIABLE).filter(|d| !d.is_empty()),
             discovery: address("discovery", "NODE_DISCOVERY")?,
             seed: seed.ok_or_else(|| ConfigError::Bad("seed is missing or not hex".into()))?,
             memory_mb: limit("memory_mb", 128),
-            sockets: limit("sockets", 1024) as usize,
+            max_descriptors: limit("sockets", 1024) as usize,
             classes: named(&told["categories"]),
             tenants: named(&told["customers"]),
-            names,
-            columns: strings(&told["report"]["columns"]),
-            max_open: cap("max_open").unwrap_or(20_000) as usize,
-            streams: cap("streams_per_conn").unwrap_or(1).max(1) as usize,
-            idle: cap("conn_idle_ns").unwrap_or(5_000 * MS),
-            longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
+            topology: names,
+            load_report_columns: strings(&told["report"]["columns"]),
+            max_open_requests: cap("max_open").unwrap_or(20_000) as usize,
+            max_streams: cap("streams_per_conn").unwrap_or(1).max(1) as usize,
+            connection_idle_timeout: cap("conn_idle_ns").unwrap_or(5_000 * MS),
+            max_deadline: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
             settings,
-            known,
-            operator: json["operator"].as_str().map(str::to_owned),
+            known_list: known,
+            operator_file: json["operator"].as_str().map(str::to_owned),
         })
     }
 }
@@ -169,15 +172,15 @@
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("admin_addr", self.admin != new.admin),
-            ("operator", self.operator != new.operator),
+            ("operator", self.operator_file != new.operator_file),
             ("limits.memory_mb", self.memory_mb != new.memory_mb),
-            ("limits.sockets", self.sockets != new.sockets),
+            ("limits.sockets", self.max_descriptors != new.max_descriptors),
             // Requests are under way by the number of their class and the rules that it has.
             ("settings.categories", self.classes != new.classes || effects(self) != effects(new)),
             ("settings.customers", self.tenants != new.tenants),
-            ("settings.localities", self.names.zones != new.names.zones),
-            ("settings.machine_types", self.names.kinds != new.names.kinds),
-            ("settings.report.columns", self.columns != new.columns),
+            ("settings.localities", self.topology.zones != new.topology.zones),
+            ("settings.machine_types", self.topology.machine_kinds != new.topology.machine_kinds),
+            ("settings.report.columns", self.load_report_columns != new.load_report_columns),
             ("settings.zone", s.zone != n.zone),
             ("settings.self_index", s.proxy_index != n.proxy_index),
             ("settings.discovery", s.poll_discovery != n.poll_discovery),
@@ -185,21 +188,22 @@
         ]);
         let now = list(&[
             ("discovery", self.discovery != new.discovery),
-            ("settings.caps.max_open", self.max_open != new.max_open),
-            ("settings.caps.streams_per_conn", self.streams != new.streams),
-            ("settings.caps.conn_idle_ns", self.idle != new.idle),
+            ("settings.caps.max_open", self.max_open_requests != new.max_open_requests),
+            ("settings.caps.streams_per_conn", self.max_streams != new.max_streams),
+            ("settings.caps.conn_idle_ns", self.connection_idle_timeout != new.connection_idle_timeout),
             ("settings", restart.is_empty() && s != n),
         ]);
         (now, restart)
     }
 
     /// Takes over what holds at once of another configuration.
-    pub fn take(&mut self, new: Config) {
+    pub fn apply(&mut self, new: Config) {
         self.generation = new.generation;
         (self.discovery, self.settings) = (new.discovery, new.settings);
-        (self.max_open, self.streams, self.idle) = (new.max_open, new.streams, new.idle);
+        (self.max_open_requests, self.max_streams, self.connection_idle_timeout) =
+            (new.max_open_requests, new.max_streams, new.connection_idle_timeout);
         // Danger: requests that were taken under the longer time still have it, also at the end of the process.
-        self.longest = self.longest.max(new.longest);
+        self.max_deadline = self.max_deadline.max(new.max_deadline);
     }
 }
 
@@ -264,9 +268,12 @@
             (2, 5, true)
         );
         assert!(c.settings.allow_probe && c.settings.load_report_columns.len() == 1);
-        assert_eq!((c.longest, c.idle, c.seed), (1_000 * MS, 4_000 * MS, 0x8c1f_30d2_7a5b_e964));
+        assert_eq!(
+            (c.max_deadline, c.connection_idle_timeout, c.seed),
+            (1_000 * MS, 4_000 * MS, 0x8c1f_30d2_7a5b_e964)
+        );
         assert_eq!(c.classes, ["read", "put"]);
-        let known = c.known.expect("known");
+        let known = c.known_list.expect("known");
         let host = &known.hosts[0];
         assert_eq!(
             (known.version, host.entry.zone, host.entry.kind, host.entry.started_at),
--- a/crates/proxy/src/platform/discovery.rs
+++ b/crates/proxy/src/platform/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery over HTTP: a watch that goes on from call to call.
 //!
 //! When calls begin is planned by `freshness`, what they tell is read here. Each call has a connection and a deadline of
-//! its own. Whatever goes wrong with one, a list that can't be understood too, ends in [`Answer::Failed`]: the old list
+//! its own. Whatever goes wrong with one, a list that can't be understood too, ends in [`PollResult::Failed`]: the old list
 //! stands, and the next call is planned.
 
 use super::config::Config;
@@ -17,7 +17,7 @@
 
 const MS: Nanos = 1_000_000;
 /// So many calls may be out at once: the latest, and those that fell silent before it.
-pub const CALLS: usize = 4;
+pub const MAX_POLLS: usize = 4;
 /// A call is listened to for so long after its wait. Guards against answers that cross with a call given up: they count
 /// as told, and nobody has read them.
 const PATIENCE: Nanos = 2_500 * MS;
@@ -40,11 +40,11 @@
 
 /// The names that stand in lists for zones and machine kinds, in the order of the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct TopologyNames {
     /// Zones.
     pub zones: Vec<String>,
     /// Machine kinds.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
 }
 
 /// A cache node in a list.
@@ -55,18 +55,18 @@
     /// What the module is told of it.
     pub entry: ServerEntry,
     /// Where it is, in the order of the list; a removed one may have no address.
-    pub dials: Vec<Address>,
+    pub addresses: Vec<Address>,
     /// What stood among its addresses and is none.
-    pub faults: Vec<String>,
+    pub invalid_addresses: Vec<String>,
 }
 
 /// A list, whole or changes only.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListUpdate {
     /// Its version.
     pub version: u64,
     /// All hosts are named (else those that changed).
-    pub whole: bool,
+    pub full: bool,
     /// The hosts.
     pub hosts: Vec<Host>,
 }
@@ -99,15 +99,15 @@
 }
 
 /// Reads a list in discovery's form.
-pub fn read_list(json: &Value, names: &Names) -> Result<News, ListError> {
+pub fn read_list(json: &Value, names: &TopologyNames) -> Result<ListUpdate, ListError> {
     let version = json["seq"].as_u64().ok_or(ListError::Field("seq"))?;
     let whole = json["whole"].as_bool().ok_or(ListError::Field("whole"))?;
     let hosts = json["hosts"].as_array().ok_or(ListError::Field("hosts"))?;
     let hosts = hosts.iter().map(|h| read_host(h, names)).collect::<Result<_, _>>()?;
-    Ok(News { version, whole, hosts })
+    Ok(ListUpdate { version, full: whole, hosts })
 }
 
-fn read_host(json: &Value, names: &Names) -> Result<Host, ListError> {
+fn read_host(json: &Value, names: &TopologyNames) -> Result<Host, ListError> {
     let host = json["host"].as_str().filter(|h| !h.is_empty()).ok_or(ListError::Field("host"))?;
     let state = match json["health"].as_str() {
         Some("up") => ServerState::Ready,
@@ -137,20 +137,20 @@
     let entry = ServerEntry {
         server: server_id(host),
         zone: place(&names.zones, &json["site"]),
-        kind: place(&names.kinds, &json["class"]),
+        kind: place(&names.machine_kinds, &json["class"]),
         cell: number("block") as u32,
         state,
         weight: json["share"].as_f64().unwrap_or(1.0),
         started_at: number("born_ms").saturating_mul(MS),
     };
-    Ok(Host { name: host.into(), entry, dials, faults })
+    Ok(Host { name: host.into(), entry, addresses: dials, invalid_addresses: faults })
 }
 
 /// What comes of the calls.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum PollResult {
     /// A list.
-    News(News),
+    Update(ListUpdate),
     /// A call failed, or the watch ended with it.
     Failed(ListError),
 }
@@ -192,14 +192,14 @@
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
-    names: Names,
+    names: TopologyNames,
     follower: PollScheduler,
     version: Option<u64>,
     /// When discovery answered last.
     heard: Option<Nanos>,
     /// Older lists in a row.
     older: u32,
-    tokens: [Token; CALLS],
+    tokens: [Token; MAX_POLLS],
     /// The longest list that it takes.
     most: usize,
     latest: Option<Call>,
@@ -209,10 +209,10 @@
 
 impl Discovery {
     /// Nothing asked yet; `version` is that of the list already known.
-    pub fn new(config: &Config, version: Option<u64>, now: Nanos, tokens: [Token; CALLS]) -> Self {
+    pub fn new(config: &Config, version: Option<u64>, now: Nanos, tokens: [Token; MAX_POLLS]) -> Self {
         Discovery {
             address: config.discovery,
-            names: config.names.clone(),
+            names: config.topology.clone(),
             follower: PollScheduler::new(PollConfig::from(&config.settings), config.seed, now),
             version,
             heard: None,
@@ -226,7 +226,7 @@
 
     /// Discovery is at another address from now on. Calls that are out end, and the list is known in no
     /// version of the new one's.
-    pub fn moved(&mut self, address: SocketAddr, now: Nanos) {
+    pub fn change_address(&mut self, address: SocketAddr, now: Nanos) {
         (self.address, self.version, self.older, self.latest) = (address, None, 0, None);
         self.silent.clear();
         self.follower.discovery_moved(now);
@@ -238,27 +238,27 @@
     }
 
     /// The version of the list, and when discovery last said what it is.
-    pub fn known(&self) -> (Option<u64>, Option<Nanos>) {
+    pub fn last_list(&self) -> (Option<u64>, Option<Nanos>) {
         (self.version, self.heard)
     }
 
     /// When a call is to begin.
-    pub fn due(&self) -> Nanos {
+    pub fn next_wakeup(&self) -> Nanos {
         self.follower.next_wakeup()
     }
 
     /// Begins the call that is due. The one that was out is given up, and listened to all the same.
-    pub fn run(&mut self, registry: &Registry, now: Nanos) -> Option<Answer> {
+    pub fn start_due_poll(&mut self, registry: &Registry, now: Nanos) -> Option<PollResult> {
         if !self.follower.start_if_due(now) {
             return None;
         }
-        self.begin(registry, None, now).err().map(Answer::Failed)
+        self.begin(registry, None, now).err().map(PollResult::Failed)
     }
 
     /// Begins a call that does not wait, or waits for so long. If that fails, the next one is planned.
     fn begin(&mut self, registry: &Registry, wait: Option<Nanos>, now: Nanos) -> Result<(), ListError> {
         // Danger: with the first of them given up, a discovery that takes its time would never be heard.
-        self.silent.extend(self.latest.take().filter(|_| self.silent.len() + 2 <= CALLS));
+        self.silent.extend(self.latest.take().filter(|_| self.silent.len() + 2 <= MAX_POLLS));
         let begun = self.call(registry, wait, now);
         self.latest = Some(begun.inspect_err(|_| self.follower.poll_failed(now))?);
         Ok(())
@@ -296,7 +296,7 @@
 
     /// Drives the call of a token as far as its socket allows; its answer, once there is one. That a call which has been
     /// given up fails is no news.
-    pub fn ready(&mut self, registry: &Registry, token: Token, now: Nanos) -> Option<Answer> {
+    pub fn handle_ready(&mut self, registry: &Registry, token: Token, now: Nanos) -> Option<PollResult> {
         let latest = self.latest.as_ref().is_some_and(|c| c.token == token);
         let (news, waited) = if latest {
             let told = self.latest.as_mut()?.told(&self.names, now)?;
@@ -305,7 +305,7 @@
                 Ok(news) => (news, waited),
                 Err(e) => {
                     self.follower.poll_failed(now);
-                    return Some(Answer::Failed(e));
+                    return Some(PollResult::Failed(e));
                 }
             }
         } else {
@@ -324,14 +324,14 @@
             let _ = self.begin(registry, Some(wait), now).inspect_err(|e| eprintln!("discovery: {e}"));
         }
         // A call that waited in vain says nothing new, but the first one says that the watch has begun.
-        let told = !waited || newer || news.whole || !news.hosts.is_empty();
-        told.then_some(Answer::News(news))
+        let told = !waited || newer || news.full || !news.hosts.is_empty();
+        told.then_some(PollResult::Update(news))
     }
 
     /// The list, unless it is older than the one in force.
-    fn in_order(&mut self, news: News) -> Result<News, ListError> {
+    fn in_order(&mut self, news: ListUpdate) -> Result<ListUpdate, ListError> {
         match self.version {
-            Some(known) if news.version < known && !(news.whole && self.older >= OLDER) => {
+            Some(known) if news.version < known && !(news.full && self.older >= OLDER) => {
                 self.older += 1;
                 Err(ListError::Older(news.version, known))
             }
@@ -343,11 +343,11 @@
     }
 
     /// Gives up a call that has stopped in the middle of its answer, and those that nothing is to be heard of any more.
-    pub fn sweep(&mut self, registry: &Registry, now: Nanos) -> Option<Answer> {
+    pub fn expire_polls(&mut self, registry: &Registry, now: Nanos) -> Option<PollResult> {
         self.silent.retain(|c| !c.is_over(now));
         if self.latest.as_ref().is_some_and(|c| c.has_stopped(now)) {
             self.follower.start_replacement(now);
-            return self.begin(registry, None, now).err().map(Answer::Failed);
+            return self.begin(registry, None, now).err().map(PollResult::Failed);
         }
         None
     }
@@ -366,7 +366,7 @@
     }
 
     /// Drives the call; once it is over, what it told is given.
-    fn told(&mut self, names: &Names, now: Nanos) -> Option<Result<News, ListError>> {
+    fn told(&mut self, names: &TopologyNames, now: Nanos) -> Option<Result<ListUpdate, ListError>> {
         let read = match self.drive(now) {
             Ok(false) => return None,
             Ok(true) => serde_json::from_slice(&self.body).map_err(|_| ListError::Json),
--- a/crates/proxy/src/platform/inherited.rs
+++ b/crates/proxy/src/platform/inherited.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 
 /// Names the descriptor, as a number.
-pub const VARIABLE: &str = "NODE_LISTEN_FD";
+pub const DESCRIPTOR_VARIABLE: &str = "NODE_LISTEN_FD";
 
 /// Why a socket that was handed over can't be used.
 #[derive(Debug)]
@@ -13,7 +13,7 @@
 
 impl fmt::Display for InheritError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{VARIABLE}: {}", self.0)
+        write!(f, "{DESCRIPTOR_VARIABLE}: {}", self.0)
     }
 }
 
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// The descriptor is no listening TCP socket.
-pub fn take(descriptor: &str) -> Result<TcpListener, InheritError> {
+pub fn take_listener(descriptor: &str) -> Result<TcpListener, InheritError> {
     let fault = |what: String| InheritError(format!("{descriptor:?}: {what}"));
     let number: u16 = descriptor.parse().map_err(|_| fault("is no number of a descriptor".into()))?;
     // The library reads systemd's variables; the first number is its own addition to them.
--- a/crates/proxy/src/platform/signals.rs
+++ b/crates/proxy/src/platform/signals.rs
@@ -36,12 +36,12 @@
     }
 
     /// SIGTERM has been seen.
-    pub fn terminated(&self) {
+    pub fn clear_terminate(&self) {
         drain(&self.terminate);
     }
 
     /// SIGHUP has been seen.
-    pub fn hung_up(&self) {
+    pub fn clear_hangup(&self) {
         drain(&self.hangup);
     }
 }
--- a/crates/proxy/src/turn.rs
+++ b/crates/proxy/src/turn.rs
@@ -166,7 +166,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::platform::discovery::CALLS;
+    use crate::platform::discovery::MAX_POLLS;
 
     #[test]
     fn every_source_comes_back_from_its_token() {
@@ -176,7 +176,7 @@
             peers.into_iter().chain([Source::Controller(i), Source::Caller(i)])
         });
         let all: Vec<Source> =
-            ones.into_iter().chain((0..CALLS).map(Source::Discovery)).chain(many).collect();
+            ones.into_iter().chain((0..MAX_POLLS).map(Source::Discovery)).chain(many).collect();
         for (i, source) in all.iter().enumerate() {
             assert_eq!(Source::from(source.token()), *source);
             assert!(all[..i].iter().all(|other| other.token() != source.token()), "{source:?}");
