--- /dev/null
+++ b/crates/proxy/src/streaming.rs
@@ -0,0 +1,80 @@
+//! Streaming of long values from a cache node to the client. The request counts as answered once the value's first part
+//! has gone to its client: from then on it is over for the balancer, and no other answer can replace it.
+//!
+//! Streaming bounds memory for values of any length: no more is read from the node than the client accepts, so that a
+//! slow client holds up the node through TCP flow control. When a value breaks off, the client's connection has to be
+//! closed, because a client has no other way to tell that the value is incomplete; the requests pipelined behind it
+//! end with the connection.
+
+use crate::observers::{FinalResult, Notification};
+use crate::request::ReplySlot;
+use crate::Proxy;
+use calicosaddle::api::RequestId;
+use resp::{Reply, Shape};
+use rustc_hash::FxHashMap;
+
+/// A value that is being streamed.
+#[derive(Debug)]
+struct StreamedValue {
+    slot: ReplySlot,
+    class: u32,
+    /// The node connection that it arrives on.
+    connection: usize,
+}
+
+/// All values that are being streamed.
+#[derive(Debug, Default)]
+pub struct StreamedValues(FxHashMap<RequestId, StreamedValue>);
+
+impl StreamedValues {
+    /// The number of values being streamed.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+}
+
+impl Proxy {
+    /// Begins to stream a value that starts to arrive on a node connection. If its request is already answered, the
+    /// value is dropped as it arrives.
+    pub(crate) fn start_stream(&mut self, id: RequestId, connection: usize, shape: Shape, length: usize) {
+        let Some((slot, class)) = self.requests.answer(id) else { return };
+        self.clients.begin(slot, shape, length);
+        self.streamed_values.0.insert(id, StreamedValue { slot, class, connection });
+    }
+
+    /// Forwards a part of a value, and stops reading from the node if the client cannot take more.
+    pub(crate) fn forward_part(&mut self, id: RequestId, bytes: &[u8]) {
+        let Some(value) = self.streamed_values.0.get(&id) else { return };
+        if !self.clients.pass(value.slot, bytes) {
+            self.boxes.pause(value.connection, id, true, self.event_loop.now);
+        }
+    }
+
+    /// Resumes reading from the node once the client can take more.
+    pub(crate) fn resume_stream(&mut self, id: RequestId) {
+        if let Some(value) = self.streamed_values.0.get(&id) {
+            self.boxes.pause(value.connection, id, false, self.event_loop.now);
+        }
+    }
+
+    /// Completes a value that has arrived in full.
+    pub(crate) fn finish_stream(&mut self, id: RequestId, reply: &Reply) {
+        let Some(value) = self.streamed_values.0.remove(&id) else { return };
+        self.observers.notify(Notification::Answered(FinalResult::Served, value.class));
+        self.clients.finish(value.slot, reply);
+    }
+
+    /// Closes the client's connection after its value broke off at the node.
+    pub(crate) fn abort_stream(&mut self, id: RequestId) {
+        let Some(value) = self.streamed_values.0.remove(&id) else { return };
+        self.observers.notify(Notification::Answered(FinalResult::Failed, value.class));
+        self.clients.cut(value.slot);
+    }
+
+    /// Stops streaming a value whose client has disconnected.
+    pub(crate) fn cancel_stream(&mut self, id: RequestId) {
+        let Some(value) = self.streamed_values.0.remove(&id) else { return };
+        self.observers.notify(Notification::Abandoned);
+        self.boxes.stop_passing(value.connection, id);
+    }
+}
