--- a/crates/proxy/src/front/admin.rs
+++ b/crates/proxy/src/front/admin.rs
@@ -14,7 +14,7 @@
 
 const MS: Nanos = 1_000_000;
 /// Calls at once.
-pub const PLACES: usize = 16;
+pub const MAX_CALLERS: usize = 16;
 /// The longest line.
 const MAX_LINE: usize = 128;
 /// A call is over after so long, whatever its caller does.
@@ -24,22 +24,22 @@
 
 /// What operators ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCommand {
     /// Does this process take clients?
     Ready,
     /// The figures.
     ShowStat,
 }
 
-impl Call {
+impl AdminCommand {
     /// Reads a line.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn read(line: &[u8]) -> Result<Call, &'static str> {
+    pub fn parse(line: &[u8]) -> Result<AdminCommand, &'static str> {
         match line.trim_ascii() {
-            b"ready" => Ok(Call::Ready),
-            b"show-stat" => Ok(Call::ShowStat),
+            b"ready" => Ok(AdminCommand::Ready),
+            b"show-stat" => Ok(AdminCommand::ShowStat),
             b"" => Err("the line is empty; ready and show-stat are understood"),
             _ => Err("unknown call; ready and show-stat are understood"),
         }
@@ -82,12 +82,12 @@
     }
 
     /// Notes that the listener has calls.
-    pub fn knocked(&mut self) {
+    pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
 
     /// True if there may be more calls to accept.
-    pub fn has_more(&self) -> bool {
+    pub fn has_pending_work(&self) -> bool {
         self.accepting
     }
 
@@ -97,7 +97,7 @@
             // Without descriptors the next sweep tries again.
             let accepted = super::next(&mut self.accepting, || self.listener.accept());
             let Some(mut stream) = accepted else { return };
-            if self.callers.len() >= PLACES {
+            if self.callers.len() >= MAX_CALLERS {
                 // Who has had the answer goes first, then who has been silent for longest.
                 let last = self.callers.iter().min_by_key(|(_, c)| (!c.lingering, c.began));
                 let last = last.map(|(key, _)| key);
@@ -120,7 +120,11 @@
     }
 
     /// Reads what a caller has sent; its call, once the line is whole.
-    pub fn woke(&mut self, key: usize, buffer: &mut [u8]) -> Option<Result<Call, &'static str>> {
+    pub fn read_command(
+        &mut self,
+        key: usize,
+        buffer: &mut [u8],
+    ) -> Option<Result<AdminCommand, &'static str>> {
         self.flush(key);
         loop {
             let caller = self.callers.get_mut(key)?;
@@ -150,7 +154,7 @@
                 return Some(Err("the line is too long"));
             }
             if end.is_some() {
-                return Some(Call::read(&caller.line));
+                return Some(AdminCommand::parse(&caller.line));
             }
         }
     }
@@ -196,10 +200,10 @@
 
     #[test]
     fn a_call_is_one_word_on_a_line() {
-        assert_eq!(Call::read(b"ready\r"), Ok(Call::Ready));
-        assert_eq!(Call::read(b" show-stat "), Ok(Call::ShowStat));
+        assert_eq!(AdminCommand::parse(b"ready\r"), Ok(AdminCommand::Ready));
+        assert_eq!(AdminCommand::parse(b" show-stat "), Ok(AdminCommand::ShowStat));
         for wrong in [&b""[..], b"READY", b"ready now", b"show-stats", b"\xff"] {
-            assert!(Call::read(wrong).is_err(), "{wrong:?}");
+            assert!(AdminCommand::parse(wrong).is_err(), "{wrong:?}");
         }
     }
 }
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -52,18 +52,18 @@
 
 /// What clients did.
 #[derive(Debug)]
-pub enum News {
+pub enum ClientEvent {
     /// A request is to be answered.
     Query(RequestId, ReplySlot, Rc<Query>),
     /// A request of this class was refused before it became one: there was no room for it.
-    TurnedAway(u32),
+    Rejected(u32),
     /// The client ended its sending and has this request open. It may still read: what is under way may be
     /// answered, nothing new may be sent.
-    Left(RequestId),
+    HalfClosed(RequestId),
     /// There is room for more of the long value that is being passed on as this request's answer.
-    Wants(RequestId),
+    ReadyForMore(RequestId),
     /// The connection is gone, and nothing can be answered on it.
-    Gone(RequestId),
+    Disconnected(RequestId),
 }
 
 #[derive(Debug)]
@@ -164,7 +164,7 @@
     waiting: VecDeque<usize>,
     /// Connections that may have more input.
     again: Vec<usize>,
-    news: VecDeque<News>,
+    news: VecDeque<ClientEvent>,
 }
 
 impl Clients {
@@ -224,12 +224,12 @@
     }
 
     /// The next thing that a client did.
-    pub fn news(&mut self) -> Option<News> {
+    pub fn next_event(&mut self) -> Option<ClientEvent> {
         self.news.pop_front()
     }
 
     /// True if some socket may have more without saying so again.
-    pub fn has_more(&self) -> bool {
+    pub fn has_pending_work(&self) -> bool {
         !self.again.is_empty() || (self.accepting && self.has_place())
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Notes that the listener has connections.
-    pub fn knocked(&mut self) {
+    pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
 
@@ -328,7 +328,7 @@
     }
 
     /// Connections to read on with.
-    pub fn take_again(&mut self) -> Vec<usize> {
+    pub fn take_pending_reads(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.again)
     }
 
@@ -379,7 +379,7 @@
         }
         for slot in &client.slots {
             if let Slot::Waiting(id, _) = slot {
-                self.news.push_back(News::Left(*id));
+                self.news.push_back(ClientEvent::HalfClosed(*id));
             }
         }
     }
@@ -415,7 +415,7 @@
     }
 
     /// Reads on where commands waited for room and there is some, the first to wait first.
-    pub fn admit(&mut self, config: &Config, now: Nanos) {
+    pub fn resume_waiting(&mut self, config: &Config, now: Nanos) {
         while let Some(key) = self.waiting.front().copied() {
             // Another connection may have come to this place.
             if let Some(client) = self.all.get_mut(key).filter(|c| c.parser.waits_for_room()) {
@@ -449,7 +449,7 @@
         match query {
             // Untouched, it may always be refused.
             Ok(query) if !whole || client.slots.len() >= self.depth => {
-                self.news.push_back(News::TurnedAway(query.class));
+                self.news.push_back(ClientEvent::Rejected(query.class));
                 self.reply_next(key, BUSY);
             }
             Ok(query) => {
@@ -458,7 +458,7 @@
                 self.next_id += 1;
                 client.slots.push_back(Slot::Waiting(id, client.session.protocol()));
                 (client.newcomer, client.asked) = (None, (client.asked + 1).min(2));
-                self.news.push_back(News::Query(id, place, Rc::new(query)));
+                self.news.push_back(ClientEvent::Query(id, place, Rc::new(query)));
             }
             Err(answer) => self.reply_next(key, answer.as_bytes()),
         }
@@ -512,17 +512,17 @@
     }
 
     /// Begins a request's answer, a long value.
-    pub fn begin(&mut self, place: ReplySlot, shape: Shape, length: usize) {
+    pub fn begin_value(&mut self, place: ReplySlot, shape: Shape, length: usize) {
         let Some((client, at)) = self.slot(place) else { return };
         let Slot::Waiting(id, protocol) = client.slots[at] else { return };
         let mut head = Vec::new();
         Reply::write_head(shape, length, protocol, &mut head);
         client.slots[at] = Slot::Passing(id, protocol, Vec::new(), false);
-        self.pass(place, &head);
+        self.append_value(place, &head);
     }
 
-    /// Goes on with it. False if no more of it is wanted for now: [`News::Wants`] says when there is.
-    pub fn pass(&mut self, place: ReplySlot, bytes: &[u8]) -> bool {
+    /// Goes on with it. False if no more of it is wanted for now: [`ClientEvent::ReadyForMore`] says when there is.
+    pub fn append_value(&mut self, place: ReplySlot, bytes: &[u8]) -> bool {
         let share = self.share();
         let Some((client, at)) = self.slot(place) else { return true };
         let (unread, held) = (client.backlog() + bytes.len(), client.held);
@@ -541,7 +541,7 @@
     }
 
     /// Ends it.
-    pub fn finish(&mut self, place: ReplySlot, reply: &Reply) {
+    pub fn finish_value(&mut self, place: ReplySlot, reply: &Reply) {
         let Some((client, at)) = self.slot(place) else { return };
         let Slot::Passing(_, protocol, kept, _) = &mut client.slots[at] else { return };
         let before = kept.len();
@@ -554,7 +554,7 @@
     }
 
     /// It can't be ended: closing is how the client can tell.
-    pub fn cut(&mut self, place: ReplySlot) {
+    pub fn abort_value(&mut self, place: ReplySlot) {
         if let Some((client, at)) = self.slot(place) {
             client.slots.remove(at);
             self.remove(place.client);
@@ -630,7 +630,7 @@
         let little = client.backlog() <= share / 2;
         if let Some(Slot::Passing(id, _, _, full @ true)) = client.slots.front_mut().filter(|_| little) {
             *full = false;
-            self.news.push_back(News::Wants(*id));
+            self.news.push_back(ClientEvent::ReadyForMore(*id));
         }
         if client.held_up && client.backlog() <= HIGH {
             client.held_up = false;
@@ -660,7 +660,9 @@
         self.backlog = self.backlog.saturating_sub(client.backlog());
         for slot in client.slots {
             match slot {
-                Slot::Waiting(id, _) | Slot::Passing(id, ..) => self.news.push_back(News::Gone(id)),
+                Slot::Waiting(id, _) | Slot::Passing(id, ..) => {
+                    self.news.push_back(ClientEvent::Disconnected(id))
+                }
                 Slot::Ready(_) => {}
             }
         }
@@ -743,12 +745,12 @@
         let (begun, mut buffer) = (Instant::now(), [0; 256]);
         let place = loop {
             assert!(begun.elapsed() < Duration::from_secs(20), "nothing came");
-            clients.knocked();
+            clients.listener_ready();
             clients.accept(poll.registry(), 0, Token, |_| 8).expect("accepted");
             clients.all.iter().map(|(key, _)| key).collect::<Vec<_>>().into_iter().for_each(|key| {
                 clients.read(key, false, &config, &mut buffer, 0);
             });
-            if let Some(News::Query(_, place, _)) = clients.news() {
+            if let Some(ClientEvent::Query(_, place, _)) = clients.next_event() {
                 break place;
             }
         };
--- a/crates/proxy/src/front/control.rs
+++ b/crates/proxy/src/front/control.rs
@@ -53,26 +53,26 @@
 
 /// What must outlive the process, and where it is kept.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct PersistentState {
     path: Option<PathBuf>,
     /// As it is in force.
     pub state: State,
 }
 
-impl Kept {
+impl PersistentState {
     /// Reads the state of the process before, if there is one.
-    pub fn load(path: Option<PathBuf>) -> Result<Kept, StartError> {
-        let Some(path) = path else { return Ok(Kept::default()) };
+    pub fn load(path: Option<PathBuf>) -> Result<PersistentState, StartError> {
+        let Some(path) = path else { return Ok(PersistentState::default()) };
         let text = match fs::read_to_string(&path) {
             Ok(text) => text,
             Err(e) if e.kind() == io::ErrorKind::NotFound => {
-                return Ok(Kept { path: Some(path), state: State::default() })
+                return Ok(PersistentState { path: Some(path), state: State::default() })
             }
             Err(e) => return Err(StartError::State(path, format!("can't be read: {e}"))),
         };
         // Danger: to go on without it would send work to a box that an operator drained.
         match State::decode(&text) {
-            Ok(state) => Ok(Kept { path: Some(path), state }),
+            Ok(state) => Ok(PersistentState { path: Some(path), state }),
             Err(what) => {
                 let advice = "mend it, or remove it to start with nothing drained";
                 Err(StartError::State(path, format!("{what}; {advice}")))
@@ -96,7 +96,7 @@
 }
 
 /// A request, or what is wrong with it and the id that it bears.
-pub type Asked = Result<Request, (String, Error)>;
+pub type ParsedRequest = Result<Request, (String, Error)>;
 
 #[derive(Debug)]
 struct Watch {
@@ -136,7 +136,7 @@
 
 /// The endpoint.
 #[derive(Debug)]
-pub struct Endpoint {
+pub struct ControlEndpoint {
     listener: UnixListener,
     path: PathBuf,
     uids: Vec<u32>,
@@ -171,7 +171,7 @@
     Ok(listener)
 }
 
-impl Endpoint {
+impl ControlEndpoint {
     /// Listens.
     pub fn open(settings: &operator::Control, registry: &Registry, token: Token) -> Result<Self, StartError> {
         let mut listener = bind(&settings.socket)?;
@@ -180,7 +180,7 @@
             .map_err(|e| StartError::Socket(settings.socket.clone(), e.to_string()))?;
         let mut uids = settings.allow_uids.clone();
         uids.push(rustix::process::geteuid().as_raw());
-        Ok(Endpoint {
+        Ok(ControlEndpoint {
             listener,
             path: settings.socket.clone(),
             uids,
@@ -192,12 +192,12 @@
     }
 
     /// Notes that the listener has connections.
-    pub fn knocked(&mut self) {
+    pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
 
     /// A connection can be read or written.
-    pub fn woke(&mut self, key: usize, now: Nanos) {
+    pub fn connection_ready(&mut self, key: usize, now: Nanos) {
         if let Some(peer) = self.peers.get_mut(key) {
             peer.readable = true;
         }
@@ -205,25 +205,25 @@
     }
 
     /// Has this endpoint work, and when may it be done?
-    pub fn work(&self) -> Option<Nanos> {
+    pub fn work_due(&self) -> Option<Nanos> {
         // Danger: what can't be worked on until its peer reads would have the loop spin.
         let busy = |p: &Peer| !p.stuck() && (p.readable || !p.waiting.is_empty());
         (self.accepting || self.peers.iter().any(|(_, p)| busy(p))).then_some(self.rest_until)
     }
 
     /// The work of a turn took so long.
-    pub fn worked(&mut self, began: Nanos, now: Nanos) {
+    pub fn record_work(&mut self, began: Nanos, now: Nanos) {
         self.rest_until = now + REST * now.saturating_sub(began);
     }
 
     /// Accepts, reads, and takes the requests whose turn it is.
-    pub fn requests(
+    pub fn take_requests(
         &mut self,
         registry: &Registry,
         token: impl Fn(usize) -> Token,
         buffer: &mut [u8],
         now: Nanos,
-    ) -> Vec<(usize, Asked)> {
+    ) -> Vec<(usize, ParsedRequest)> {
         self.accept(registry, token, now);
         let keys: Vec<usize> = self.peers.iter().map(|(key, _)| key).collect();
         for key in &keys {
@@ -345,7 +345,7 @@
     }
 
     /// Tells the watchers whose time has come, or who have not heard of this change.
-    pub fn tell(&mut self, change: u64, status: impl Fn() -> Status, now: Nanos) {
+    pub fn notify_watchers(&mut self, change: u64, status: impl Fn() -> Status, now: Nanos) {
         let due = |w: &Watch| {
             w.change != change || w.every.is_some_and(|every| now.saturating_sub(w.told) >= every)
         };
@@ -413,14 +413,14 @@
     }
 }
 
-impl Drop for Endpoint {
+impl Drop for ControlEndpoint {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.path);
     }
 }
 
 /// Checks the interval of a watch.
-pub fn interval(every_ms: Option<u64>) -> Result<Option<Nanos>, Error> {
+pub fn watch_interval(every_ms: Option<u64>) -> Result<Option<Nanos>, Error> {
     let range = control::message::WATCH_MS;
     match every_ms {
         Some(ms) if !range.contains(&ms) => {
@@ -432,7 +432,7 @@
 }
 
 /// Does this change something that a proxy on its way out no longer can?
-pub fn needs_life(op: &Op) -> bool {
+pub fn requires_running_proxy(op: &Op) -> bool {
     !matches!(
         op,
         Op::Status | Op::List | Op::Boxes { .. } | Op::Watch { .. } | Op::Reconfigure { dry_run: true, .. }
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -1,8 +1,8 @@
 //! What controllers ask of a proxy, carried out: its state told, boxes and the proxy itself drained, another
 //! configuration taken over. All that bears on where requests go reaches the module as events.
 
-use super::admin::Call;
-use super::control::{interval, needs_life};
+use super::admin::AdminCommand;
+use super::control::{requires_running_proxy, watch_interval};
 use crate::event_loop::Source;
 use crate::gates::Gates;
 use crate::metrics::Gauges;
@@ -19,13 +19,13 @@
 
 impl Proxy {
     /// Does the work that controllers have, when its turn has come.
-    pub(crate) fn controlled(&mut self) {
+    pub(crate) fn serve_controllers(&mut self) {
         let Some(mut endpoint) = self.control.take() else { return };
         let began = self.event_loop.clock.now();
-        if endpoint.work().is_some_and(|at| at <= began) {
+        if endpoint.work_due().is_some_and(|at| at <= began) {
             self.event_loop.now = began;
             let registry = self.event_loop.registry();
-            let requests = endpoint.requests(
+            let requests = endpoint.take_requests(
                 registry,
                 |key| Source::ControlConnection(key).token(),
                 &mut self.buffer,
@@ -35,13 +35,13 @@
                 let (id, done) = match request {
                     Err((id, error)) => (id, Err(error)),
                     Ok(Request { id, op: Op::Watch { every_ms }, .. }) => {
-                        let watched = interval(every_ms).map(|every| {
+                        let watched = watch_interval(every_ms).map(|every| {
                             endpoint.watch(key, id.clone(), every, self.change_count, began);
                             Answer::Status(Box::new(self.status()))
                         });
                         (id, watched)
                     }
-                    Ok(Request { id, op, .. }) => (id, self.operate(op)),
+                    Ok(Request { id, op, .. }) => (id, self.execute_op(op)),
                 };
                 self.process_pending();
                 match done {
@@ -49,8 +49,8 @@
                     Err(error) => endpoint.error(key, id, error, began),
                 }
             }
-            endpoint.tell(self.change_count, || self.status(), began);
-            endpoint.worked(began, self.event_loop.clock.now());
+            endpoint.notify_watchers(self.change_count, || self.status(), began);
+            endpoint.record_work(began, self.event_loop.clock.now());
         }
         self.control = Some(endpoint);
     }
@@ -68,12 +68,12 @@
             self.change_count += 1;
         }
         endpoint.sweep(self.event_loop.now);
-        endpoint.tell(self.change_count, || self.status(), self.event_loop.now);
+        endpoint.notify_watchers(self.change_count, || self.status(), self.event_loop.now);
         self.control = Some(endpoint);
     }
 
-    fn operate(&mut self, op: Op) -> Result<Answer, Error> {
-        if self.terminating_since.is_some() && needs_life(&op) {
+    fn execute_op(&mut self, op: Op) -> Result<Answer, Error> {
+        if self.terminating_since.is_some() && requires_running_proxy(&op) {
             return Err(Error::new(Code::Stopping, "the instance has been told to end; nothing changed"));
         }
         let state = &self.persisted.state;
@@ -89,17 +89,17 @@
                 let (boxes, more) = self.boxes.page(&after, limit, false, zones, self.event_loop.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
-            Op::List => return Ok(Answer::Known(Known { known: self.known() })),
+            Op::List => return Ok(Answer::Known(Known { known: self.known_list() })),
             Op::Drain => self.drain()?,
             Op::Undrain => self.undrain()?,
-            Op::DrainBox { name } => self.keep(state.with_box(&name, true)?)?,
-            Op::UndrainBox { name } => self.keep(state.with_box(&name, false)?)?,
-            Op::SetDrained { revision, boxes } => self.keep(state.with_drained(revision, boxes)?)?,
+            Op::DrainBox { name } => self.store_state(state.with_box(&name, true)?)?,
+            Op::UndrainBox { name } => self.store_state(state.with_box(&name, false)?)?,
+            Op::SetDrained { revision, boxes } => self.store_state(state.with_drained(revision, boxes)?)?,
             Op::ShadowStart { generation, lease_ms } => {
-                return self.order(|c, now| c.start(generation, lease_ms, now))
+                return self.run_shadow_order(|c, now| c.start(generation, lease_ms, now))
             }
-            Op::ShadowStop { generation } => return self.order(|c, now| c.stop(generation, now)),
-            Op::ShadowStatus => return self.order(|_, _| Ok(())),
+            Op::ShadowStop { generation } => return self.run_shadow_order(|c, now| c.stop(generation, now)),
+            Op::ShadowStatus => return self.run_shadow_order(|_, _| Ok(())),
             Op::Reconfigure { generation, config, dry_run } => {
                 return self.reconfigure(generation, &config.to_string(), dry_run).map(Answer::Reconfigured);
             }
@@ -108,7 +108,7 @@
     }
 
     /// The list, as the next process may begin with it. Its version is discovery's.
-    fn known(&self) -> Value {
+    fn known_list(&self) -> Value {
         let Some(version) = self.discovery.last_list().0 else { return Value::Null };
         let hosts = self.boxes.hosts(&self.config.topology);
         // Danger: an answer past the frame's bound would end the connection.
@@ -119,7 +119,7 @@
     }
 
     /// Carries out an order for copying; how that stands then.
-    fn order(
+    fn run_shadow_order(
         &mut self,
         order: impl FnOnce(&mut ShadowTraffic, Nanos) -> Result<(), Error>,
     ) -> Result<Answer, Error> {
@@ -135,17 +135,17 @@
 
     // ---- drains ----
 
-    fn keep(&mut self, change: Option<State>) -> Result<(), Error> {
+    fn store_state(&mut self, change: Option<State>) -> Result<(), Error> {
         if let Some(state) = change {
             self.persisted.store(state)?;
             self.change_count += 1;
-            self.withdraw();
+            self.apply_box_drains();
         }
         Ok(())
     }
 
     /// Puts in force what operators said of boxes: for the module's choices, and for what waits to be written.
-    pub(crate) fn withdraw(&mut self) {
+    pub(crate) fn apply_box_drains(&mut self) {
         let servers: Vec<ServerId> = self.persisted.state.boxes.iter().map(|name| server_id(name)).collect();
         self.boxes.withdraw(&servers, self.event_loop.now);
         self.pending_events.push_back(Event::OperatorDrained(servers));
@@ -223,15 +223,17 @@
     }
 
     /// Answers an operator's call.
-    pub(crate) fn called(&mut self, key: usize) {
-        let Some(call) = self.admin.as_mut().and_then(|a| a.woke(key, &mut self.buffer)) else { return };
+    pub(crate) fn serve_admin_caller(&mut self, key: usize) {
+        let Some(call) = self.admin.as_mut().and_then(|a| a.read_command(key, &mut self.buffer)) else {
+            return;
+        };
         let answer = match call {
             // Before there is a listener, or once it is closed, clients are not taken.
-            Ok(Call::Ready) if self.closed_to_clients || self.terminating_since.is_some() => {
+            Ok(AdminCommand::Ready) if self.closed_to_clients || self.terminating_since.is_some() => {
                 "error not ready\n".to_owned()
             }
-            Ok(Call::Ready) => "done\n".to_owned(),
-            Ok(Call::ShowStat) => self.figures() + "end\n",
+            Ok(AdminCommand::Ready) => "done\n".to_owned(),
+            Ok(AdminCommand::ShowStat) => self.figures() + "end\n",
             Err(what) => format!("error {what}\n"),
         };
         self.admin.iter_mut().for_each(|a| a.answer(key, &answer));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -29,7 +29,7 @@
 use event_loop::{EventLoop, Source};
 use front::admin::{self, Admin};
 use front::clients::Clients;
-use front::control::{Endpoint, Kept};
+use front::control::{ControlEndpoint, PersistentState};
 use gates::Gates;
 use mio::event::Event as SocketEvent;
 use mio::Events;
@@ -91,11 +91,11 @@
     /// No client connections are accepted any more.
     closed_to_clients: bool,
     admin: Option<Admin>,
-    control: Option<Endpoint>,
+    control: Option<ControlEndpoint>,
     /// Copies of reads to boxes that are not in service yet.
     shadow_traffic: Option<ShadowTraffic>,
     /// State that survives a restart.
-    persisted: Kept,
+    persisted: PersistentState,
     /// Counts the changes that watching controllers are notified of.
     change_count: u64,
     /// A box that takes work has been known since the start.
@@ -128,7 +128,7 @@
         let hello = boxes::hello(&operator.boxes)?;
         boxes::pipes(&operator.pipeline, &config)?;
         let shadow = operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, &config)).transpose()?;
-        let persisted = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
+        let persisted = PersistentState::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
             config.listen,
             inherited,
@@ -145,7 +145,7 @@
         let admin = config.admin.map(|a| Admin::open(a, registry, admin_token)).transpose()?;
         let control_token = Source::ControlListener.token();
         let control = operator.control.as_ref();
-        let control = control.map(|c| Endpoint::open(c, registry, control_token)).transpose()?;
+        let control = control.map(|c| ControlEndpoint::open(c, registry, control_token)).transpose()?;
         let shadow_traffic = operator.shadow.as_ref().zip(shadow).map(|(operator, settings)| {
             ShadowTraffic::new(operator, settings, &config, persisted.state.shadow, now)
         });
@@ -187,7 +187,7 @@
             event_loop,
             config,
         };
-        proxy.withdraw();
+        proxy.apply_box_drains();
         let entries = known.map(|k| proxy.apply_list(k)).unwrap_or_default();
         proxy.pending_events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
         proxy.decide();
@@ -219,9 +219,9 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         while !self.is_finished() {
-            let has_calls = self.admin.as_ref().is_some_and(Admin::has_more);
-            let has_more = self.clients.has_more() || self.boxes.has_more() || has_calls;
-            let control_due = self.control.as_ref().and_then(Endpoint::work);
+            let has_calls = self.admin.as_ref().is_some_and(Admin::has_pending_work);
+            let has_more = self.clients.has_pending_work() || self.boxes.has_more() || has_calls;
+            let control_due = self.control.as_ref().and_then(ControlEndpoint::work_due);
             let work_due = control_due.into_iter().chain(self.boxes.due());
             let work_due = work_due.chain([self.discovery.next_wakeup()]).min();
             if self.event_loop.wait(&mut events, work_due, has_more)? {
@@ -250,7 +250,7 @@
             self.event_loop.timers.set(resume_at, TimerEvent::ResumeAccept);
         }
         self.serve_operators(events);
-        self.clients.admit(&self.config, self.event_loop.now);
+        self.clients.resume_waiting(&self.config, self.event_loop.now);
         self.process_pending();
         self.write_to_nodes();
         self.clients.flush_all(self.event_loop.now);
@@ -284,11 +284,11 @@
     fn handle_listeners(&mut self, events: &Events) {
         for event in events {
             match Source::of(event) {
-                Source::ClientListener => self.clients.knocked(),
+                Source::ClientListener => self.clients.listener_ready(),
                 Source::Sigterm => self.handle_sigterm(),
                 Source::Sighup => self.reload(),
-                Source::AdminListener => self.admin.iter_mut().for_each(Admin::knocked),
-                Source::ControlListener => self.control.iter_mut().for_each(Endpoint::knocked),
+                Source::AdminListener => self.admin.iter_mut().for_each(Admin::listener_ready),
+                Source::ControlListener => self.control.iter_mut().for_each(ControlEndpoint::listener_ready),
                 Source::Discovery(_) => {
                     let (registry, now) = (self.event_loop.registry(), self.event_loop.now);
                     let answer = self.discovery.handle_ready(registry, event.token(), now);
@@ -307,7 +307,7 @@
 
     /// Reads from clients, and writes to those that can take more of their answers.
     fn read_clients(&mut self, events: &Events) {
-        for key in self.clients.take_again() {
+        for key in self.clients.take_pending_reads() {
             self.clients.read(key, true, &self.config, &mut self.buffer, self.event_loop.now);
             self.process_pending();
         }
@@ -327,17 +327,17 @@
     fn serve_operators(&mut self, events: &Events) {
         for event in events {
             let Source::ControlConnection(key) = Source::of(event) else { continue };
-            self.control.iter_mut().for_each(|c| c.woke(key, self.event_loop.now));
+            self.control.iter_mut().for_each(|c| c.connection_ready(key, self.event_loop.now));
         }
         for event in events {
             let Source::AdminConnection(key) = Source::of(event) else { continue };
-            self.called(key);
+            self.serve_admin_caller(key);
         }
         if let Some(admin) = &mut self.admin {
             let token = |key| Source::AdminConnection(key).token();
             admin.accept(self.event_loop.registry(), self.event_loop.now, token);
         }
-        self.controlled();
+        self.serve_controllers();
     }
 
     /// Writes to cache nodes what has become ready. Everything for one connection goes out together.
@@ -360,7 +360,7 @@
         loop {
             if let Some(event) = self.boxes.news() {
                 self.handle_attempt_event(event);
-            } else if let Some(event) = self.clients.news() {
+            } else if let Some(event) = self.clients.next_event() {
                 self.handle_client_event(event);
             } else if self.pending_events.is_empty() {
                 return;
@@ -432,7 +432,7 @@
                 TimerEvent::AttemptTimeout(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
                 TimerEvent::ConnectTimeout(key, serial) => self.boxes.connect_timeout(key, serial, now),
                 TimerEvent::ConnectionAttemptDelay(key, serial) => self.boxes.stagger(key, serial, now),
-                TimerEvent::ResumeAccept => self.clients.knocked(),
+                TimerEvent::ResumeAccept => self.clients.listener_ready(),
                 TimerEvent::ShadowTimeout(number) => {
                     self.shadow_traffic.iter_mut().for_each(|s| s.copy_timeout(number, now));
                 }
@@ -480,7 +480,7 @@
         }
         self.closed_to_clients = true;
         // Connections that the kernel has already accepted would be reset when the listener is closed.
-        self.clients.knocked();
+        self.clients.listener_ready();
         let _ = self.accept_clients();
         self.clients.stop(&self.config, &mut self.buffer, self.event_loop.now);
     }
@@ -502,6 +502,6 @@
 fn reserved_descriptors(config: &Config, operator: &operator::Operator) -> usize {
     let control = operator.control.as_ref().map_or(0, |c| c.max_connections + 1);
     let shadow = operator.shadow.as_ref().map_or(0, |s| s.connections);
-    let admin = config.admin.map_or(0, |_| admin::PLACES + 1);
+    let admin = config.admin.map_or(0, |_| admin::MAX_CALLERS + 1);
     RESERVED_DESCRIPTORS + control + shadow + admin
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -14,16 +14,16 @@
 impl Proxy {
     // ---- arrival and gates ----
 
-    pub(crate) fn handle_client_event(&mut self, event: clients::News) {
+    pub(crate) fn handle_client_event(&mut self, event: clients::ClientEvent) {
         match event {
-            clients::News::Query(id, slot, query) => self.arrive(id, slot, query),
-            clients::News::TurnedAway(class) => {
+            clients::ClientEvent::Query(id, slot, query) => self.arrive(id, slot, query),
+            clients::ClientEvent::Rejected(class) => {
                 self.observers.notify(Notification::Arrived);
                 self.observers.notify(Notification::Answered(FinalResult::Refused, class));
             }
-            clients::News::Left(id) => self.client_left(id),
-            clients::News::Wants(id) => self.resume_stream(id),
-            clients::News::Gone(id) => self.client_gone(id),
+            clients::ClientEvent::HalfClosed(id) => self.client_left(id),
+            clients::ClientEvent::ReadyForMore(id) => self.resume_stream(id),
+            clients::ClientEvent::Disconnected(id) => self.client_gone(id),
         }
     }
 
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -38,14 +38,14 @@
     /// value is dropped as it arrives.
     pub(crate) fn start_stream(&mut self, id: RequestId, connection: usize, shape: Shape, length: usize) {
         let Some((slot, class)) = self.requests.answer(id) else { return };
-        self.clients.begin(slot, shape, length);
+        self.clients.begin_value(slot, shape, length);
         self.streamed_values.0.insert(id, StreamedValue { slot, class, connection });
     }
 
     /// Forwards a part of a value, and stops reading from the node if the client cannot take more.
     pub(crate) fn forward_part(&mut self, id: RequestId, bytes: &[u8]) {
         let Some(value) = self.streamed_values.0.get(&id) else { return };
-        if !self.clients.pass(value.slot, bytes) {
+        if !self.clients.append_value(value.slot, bytes) {
             self.boxes.pause(value.connection, id, true, self.event_loop.now);
         }
     }
@@ -61,14 +61,14 @@
     pub(crate) fn finish_stream(&mut self, id: RequestId, reply: &Reply) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.notify(Notification::Answered(FinalResult::Served, value.class));
-        self.clients.finish(value.slot, reply);
+        self.clients.finish_value(value.slot, reply);
     }
 
     /// Closes the client's connection after its value broke off at the node.
     pub(crate) fn abort_stream(&mut self, id: RequestId) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.notify(Notification::Answered(FinalResult::Failed, value.class));
-        self.clients.cut(value.slot);
+        self.clients.abort_value(value.slot);
     }
 
     /// Stops streaming a value whose client has disconnected.
