--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -86,7 +86,7 @@
                     return Err(Error::new(Code::BadRequest, message));
                 }
                 let zones = &self.config.topology.zones;
-                let (boxes, more) = self.boxes.page(&after, limit, false, zones, self.event_loop.now);
+                let (boxes, more) = self.boxes.status_page(&after, limit, false, zones, self.event_loop.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
             Op::List => return Ok(Answer::Known(Known { known: self.known_list() })),
@@ -147,7 +147,7 @@
     /// Puts in force what operators said of boxes: for the module's choices, and for what waits to be written.
     pub(crate) fn apply_box_drains(&mut self) {
         let servers: Vec<ServerId> = self.persisted.state.boxes.iter().map(|name| server_id(name)).collect();
-        self.boxes.withdraw(&servers, self.event_loop.now);
+        self.boxes.set_drained(&servers, self.event_loop.now);
         self.pending_events.push_back(Event::OperatorDrained(servers));
     }
 
@@ -184,7 +184,7 @@
     fn reconfigure(&mut self, generation: u64, text: &str, dry_run: bool) -> Result<Reconfigured, Error> {
         let mut new =
             Config::parse(text, |_| None).map_err(|e| Error::new(Code::BadConfig, e.to_string()))?;
-        self.boxes.check(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
+        self.boxes.check_config(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
         let (changes, needs_restart) = self.config.changes(&new);
         let same = changes.is_empty() && needs_restart.is_empty();
         let next = follows("generation", self.config.generation, generation, same)?;
@@ -241,7 +241,7 @@
 
     fn figures(&self) -> String {
         let now = Gauges {
-            backend_calls: self.boxes.written(),
+            backend_calls: self.boxes.attempts_written(),
             inflight: self.requests.unanswered() + self.streamed_values.len(),
             hosts_listed: self.boxes.counts().0,
             hosts_down: self.balancer.unavailable_servers(self.event_loop.now),
@@ -275,8 +275,11 @@
             clients: self.clients.count(),
             connections,
             counters,
-            pipelines: self.boxes.pipelines(self.event_loop.now),
-            leaving: self.boxes.page("", MAX_PAGE, true, &self.config.topology.zones, self.event_loop.now).0,
+            pipelines: self.boxes.pipeline_stats(self.event_loop.now),
+            leaving: self
+                .boxes
+                .status_page("", MAX_PAGE, true, &self.config.topology.zones, self.event_loop.now)
+                .0,
         }
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -125,8 +125,8 @@
             DescriptorBudget::new(config.max_descriptors, reserved_descriptors(&config, operator));
         let memory = ((config.memory_mb << 20) / MEMORY_DIVISOR) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
-        let hello = boxes::hello(&operator.boxes)?;
-        boxes::pipes(&operator.pipeline, &config)?;
+        let hello = boxes::hello_command(&operator.boxes)?;
+        boxes::pipeline_limits(&operator.pipeline, &config)?;
         let shadow = operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, &config)).transpose()?;
         let persisted = PersistentState::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
@@ -202,9 +202,9 @@
     /// The keys of the operator's file that are not valid with this configuration, and why.
     pub fn check(config: &Config, operator: &operator::Operator) -> Result<(), String> {
         front::users(&operator.clients, &config.tenants)?;
-        boxes::hello(&operator.boxes)?;
+        boxes::hello_command(&operator.boxes)?;
         operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, config)).transpose()?;
-        boxes::pipes(&operator.pipeline, config).map(|_| ())
+        boxes::pipeline_limits(&operator.pipeline, config).map(|_| ())
     }
 
     /// Adds a receiver of the messages that cache nodes push.
@@ -220,9 +220,9 @@
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         while !self.is_finished() {
             let has_calls = self.admin.as_ref().is_some_and(Admin::has_pending_work);
-            let has_more = self.clients.has_pending_work() || self.boxes.has_more() || has_calls;
+            let has_more = self.clients.has_pending_work() || self.boxes.has_unread_input() || has_calls;
             let control_due = self.control.as_ref().and_then(ControlEndpoint::work_due);
-            let work_due = control_due.into_iter().chain(self.boxes.due());
+            let work_due = control_due.into_iter().chain(self.boxes.next_write_at());
             let work_due = work_due.chain([self.discovery.next_wakeup()]).min();
             if self.event_loop.wait(&mut events, work_due, has_more)? {
                 self.run_iteration(&events);
@@ -262,7 +262,7 @@
     /// Reads from cache nodes. The clock is read again for each socket: an iteration may take long where a core is
     /// shared, and waiting times would be measured too short.
     fn read_nodes(&mut self, events: &Events) {
-        for key in self.boxes.take_again() {
+        for key in self.boxes.take_unread() {
             self.boxes.ready(key, true, &mut self.buffer, self.event_loop.now);
             self.process_pending();
         }
@@ -273,7 +273,7 @@
                 _ => continue,
             };
             self.event_loop.update_now();
-            if !is_race || self.boxes.rival_ready(key, self.event_loop.now) {
+            if !is_race || self.boxes.staggered_ready(key, self.event_loop.now) {
                 self.boxes.ready(key, is_closed(event), &mut self.buffer, self.event_loop.now);
             }
             self.process_pending();
@@ -342,7 +342,7 @@
 
     /// Writes to cache nodes what has become ready. Everything for one connection goes out together.
     fn write_to_nodes(&mut self) {
-        while self.boxes.write(self.event_loop.now) {
+        while self.boxes.write_due(self.event_loop.now) {
             self.process_pending();
         }
     }
@@ -358,7 +358,7 @@
     /// Processes what nodes and clients have sent and all that follows from it, until nothing is pending.
     fn process_pending(&mut self) {
         loop {
-            if let Some(event) = self.boxes.news() {
+            if let Some(event) = self.boxes.next_event() {
                 self.handle_attempt_event(event);
             } else if let Some(event) = self.clients.next_event() {
                 self.handle_client_event(event);
@@ -390,7 +390,7 @@
 
     /// Applies a list update to the boxes. Returns its entries for the balancer.
     fn apply_list(&mut self, update: ListUpdate) -> Vec<ServerEntry> {
-        self.boxes.list(&update, self.event_loop.now);
+        self.boxes.apply_list(&update, self.event_loop.now);
         self.update_candidates();
         self.observers.notify(Notification::List);
         self.change_count += 1;
@@ -431,7 +431,9 @@
                 TimerEvent::RequestDeadline(id) => self.request_deadline(id),
                 TimerEvent::AttemptTimeout(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
                 TimerEvent::ConnectTimeout(key, serial) => self.boxes.connect_timeout(key, serial, now),
-                TimerEvent::ConnectionAttemptDelay(key, serial) => self.boxes.stagger(key, serial, now),
+                TimerEvent::ConnectionAttemptDelay(key, serial) => {
+                    self.boxes.start_staggered(key, serial, now)
+                }
                 TimerEvent::ResumeAccept => self.clients.listener_ready(),
                 TimerEvent::ShadowTimeout(number) => {
                     self.shadow_traffic.iter_mut().for_each(|s| s.copy_timeout(number, now));
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -10,7 +10,7 @@
 use crate::request::ReplySlot;
 use crate::Proxy;
 use calicosaddle::api::RequestId;
-use resp::{Reply, Shape};
+use resp::{BodyFormat, Reply};
 use rustc_hash::FxHashMap;
 
 /// A value that is being streamed.
@@ -36,7 +36,13 @@
 impl Proxy {
     /// Begins to stream a value that starts to arrive on a node connection. If its request is already answered, the
     /// value is dropped as it arrives.
-    pub(crate) fn start_stream(&mut self, id: RequestId, connection: usize, shape: Shape, length: usize) {
+    pub(crate) fn start_stream(
+        &mut self,
+        id: RequestId,
+        connection: usize,
+        shape: BodyFormat,
+        length: usize,
+    ) {
         let Some((slot, class)) = self.requests.answer(id) else { return };
         self.clients.begin_value(slot, shape, length);
         self.streamed_values.0.insert(id, StreamedValue { slot, class, connection });
@@ -46,14 +52,14 @@
     pub(crate) fn forward_part(&mut self, id: RequestId, bytes: &[u8]) {
         let Some(value) = self.streamed_values.0.get(&id) else { return };
         if !self.clients.append_value(value.slot, bytes) {
-            self.boxes.pause(value.connection, id, true, self.event_loop.now);
+            self.boxes.set_paused(value.connection, id, true, self.event_loop.now);
         }
     }
 
     /// Resumes reading from the node once the client can take more.
     pub(crate) fn resume_stream(&mut self, id: RequestId) {
         if let Some(value) = self.streamed_values.0.get(&id) {
-            self.boxes.pause(value.connection, id, false, self.event_loop.now);
+            self.boxes.set_paused(value.connection, id, false, self.event_loop.now);
         }
     }
 
@@ -75,6 +81,6 @@
     pub(crate) fn cancel_stream(&mut self, id: RequestId) {
         let Some(value) = self.streamed_values.0.remove(&id) else { return };
         self.observers.notify(Notification::Abandoned);
-        self.boxes.stop_passing(value.connection, id);
+        self.boxes.stop_streaming(value.connection, id);
     }
 }
