--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -168,7 +168,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::platform::discovery::CALLS;
+    use crate::platform::discovery::MAX_POLLS;
 
     #[test]
     fn every_source_has_a_unique_token_that_decodes_to_it() {
@@ -185,7 +185,7 @@
             peers.into_iter().chain([Source::ControlConnection(i), Source::AdminConnection(i)])
         });
         let all: Vec<Source> =
-            singletons.into_iter().chain((0..CALLS).map(Source::Discovery)).chain(keyed).collect();
+            singletons.into_iter().chain((0..MAX_POLLS).map(Source::Discovery)).chain(keyed).collect();
         for (i, source) in all.iter().enumerate() {
             assert_eq!(Source::from(source.token()), *source);
             assert!(all[..i].iter().all(|other| other.token() != source.token()), "{source:?}");
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -29,12 +29,12 @@
 use event_loop::{EventLoop, Source};
 use front::admin::{self, Admin};
 use front::clients::Clients;
-use front::control::{Endpoint, Kept};
+use front::control::{ControlEndpoint, PersistentState};
 use gates::Gates;
 use mio::event::Event as SocketEvent;
 use mio::Events;
 use observers::{Notification, Observers};
-use platform::discovery::{self, Answer, Discovery};
+use platform::discovery::{Discovery, ListUpdate, PollResult};
 use platform::inherited;
 use platform::signals::Signals;
 use request::RequestTable;
@@ -92,11 +92,11 @@
     /// Clients are not accepted: the drain window is over, or the instance started drained.
     closed_to_clients: bool,
     admin: Option<Admin>,
-    control: Option<Endpoint>,
+    control: Option<ControlEndpoint>,
     /// Copies of reads to cache nodes that are not in service yet.
     shadow_traffic: Option<ShadowTraffic>,
     /// State that survives a restart.
-    persisted: Kept,
+    persisted: PersistentState,
     /// Counts the changes that watching controllers are notified of.
     change_count: u64,
     /// A cache node that takes work has been known since the start.
@@ -118,18 +118,18 @@
         mut config: Config,
         operator: &operator::Operator,
     ) -> Result<Self, Box<dyn std::error::Error>> {
-        let inherited = config.inherited.as_deref().map(inherited::take).transpose()?;
+        let inherited = config.inherited_listener.as_deref().map(inherited::take_listener).transpose()?;
         let event_loop = EventLoop::new()?;
         let (registry, now) = (event_loop.registry(), event_loop.now);
         let signals = Signals::listen(registry, Source::Sigterm.token(), Source::Sighup.token())?;
         let descriptor_budget =
-            DescriptorBudget::new(config.sockets, reserved_descriptors(&config, operator));
+            DescriptorBudget::new(config.max_descriptors, reserved_descriptors(&config, operator));
         let memory = ((config.memory_mb << 20) / MEMORY_DIVISOR) as usize;
         let users = front::users(&operator.clients, &config.tenants)?;
         let hello = boxes::hello_command(&operator.boxes)?;
         boxes::pipeline_config(&operator.pipeline, &config)?;
         let shadow = operator.shadow.as_ref().map(|s| shadow_traffic::settings(s, &config)).transpose()?;
-        let persisted = Kept::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
+        let persisted = PersistentState::load(operator.control.as_ref().and_then(|c| c.state_file.clone()))?;
         let mut clients = Clients::new(
             config.listen,
             inherited,
@@ -146,11 +146,11 @@
         let admin = config.admin.map(|a| Admin::open(a, registry, admin_token)).transpose()?;
         let control_token = Source::ControlListener.token();
         let control = operator.control.as_ref();
-        let control = control.map(|c| Endpoint::open(c, registry, control_token)).transpose()?;
+        let control = control.map(|c| ControlEndpoint::open(c, registry, control_token)).transpose()?;
         let shadow_traffic = operator.shadow.as_ref().zip(shadow).map(|(operator, settings)| {
             ShadowTraffic::new(operator, settings, &config, persisted.state.shadow, now)
         });
-        let known = config.known.take();
+        let known = config.known_list.take();
         let version = known.as_ref().map(|k| k.version);
         let discovery_tokens = std::array::from_fn(|call| Source::Discovery(call).token());
         let mut proxy = Proxy {
@@ -160,7 +160,7 @@
             requests: RequestTable::default(),
             streamed_values: StreamedValues::default(),
             descriptor_budget,
-            gates: Gates::new(config.max_open),
+            gates: Gates::new(config.max_open_requests),
             observers: Observers::default(),
             boxes: Boxes::new(
                 &config,
@@ -188,7 +188,7 @@
             event_loop,
             config,
         };
-        proxy.withdraw();
+        proxy.apply_box_drains();
         let entries = known.map(|k| proxy.apply_list(k)).unwrap_or_default();
         proxy.pending_events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
         proxy.decide();
@@ -220,11 +220,11 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         while !self.is_finished() {
-            let has_calls = self.admin.as_ref().is_some_and(Admin::has_more);
-            let has_more = self.clients.has_more() || self.boxes.has_unread_input() || has_calls;
-            let control_due = self.control.as_ref().and_then(Endpoint::work);
+            let has_calls = self.admin.as_ref().is_some_and(Admin::has_pending_work);
+            let has_more = self.clients.has_pending_work() || self.boxes.has_unread_input() || has_calls;
+            let control_due = self.control.as_ref().and_then(ControlEndpoint::work_due);
             let work_due = control_due.into_iter().chain(self.boxes.next_write_at());
-            let work_due = work_due.chain([self.discovery.due()]).min();
+            let work_due = work_due.chain([self.discovery.next_wakeup()]).min();
             if self.event_loop.wait(&mut events, work_due, has_more)? {
                 self.run_iteration(&events);
             }
@@ -239,7 +239,7 @@
     fn run_iteration(&mut self, events: &Events) {
         self.read_nodes(events);
         self.run_timers();
-        let result = self.discovery.run(self.event_loop.registry(), self.event_loop.now);
+        let result = self.discovery.start_due_poll(self.event_loop.registry(), self.event_loop.now);
         self.handle_discovery(result);
         self.write_to_nodes();
         self.handle_listeners(events);
@@ -251,7 +251,7 @@
             self.event_loop.timers.set(resume_at, TimerEvent::ResumeAccept);
         }
         self.serve_operators(events);
-        self.clients.admit(&self.config, self.event_loop.now);
+        self.clients.resume_waiting(&self.config, self.event_loop.now);
         self.process_pending();
         self.write_to_nodes();
         self.clients.flush_all(self.event_loop.now);
@@ -285,14 +285,14 @@
     fn handle_listeners(&mut self, events: &Events) {
         for event in events {
             match Source::of(event) {
-                Source::ClientListener => self.clients.knocked(),
+                Source::ClientListener => self.clients.listener_ready(),
                 Source::Sigterm => self.handle_sigterm(),
                 Source::Sighup => self.reload(),
-                Source::AdminListener => self.admin.iter_mut().for_each(Admin::knocked),
-                Source::ControlListener => self.control.iter_mut().for_each(Endpoint::knocked),
+                Source::AdminListener => self.admin.iter_mut().for_each(Admin::listener_ready),
+                Source::ControlListener => self.control.iter_mut().for_each(ControlEndpoint::listener_ready),
                 Source::Discovery(_) => {
                     let (registry, now) = (self.event_loop.registry(), self.event_loop.now);
-                    let answer = self.discovery.ready(registry, event.token(), now);
+                    let answer = self.discovery.handle_ready(registry, event.token(), now);
                     self.handle_discovery(answer);
                 }
                 Source::Client(_)
@@ -309,7 +309,7 @@
     /// Writes to clients that can take more of their answers, and reads from clients. The clock is read again for each socket,
     /// as in [`Proxy::read_nodes`].
     fn read_clients(&mut self, events: &Events) {
-        for key in self.clients.take_again() {
+        for key in self.clients.take_pending_reads() {
             self.clients.read(key, true, &self.config, &mut self.buffer, self.event_loop.now);
             self.process_pending();
         }
@@ -329,17 +329,17 @@
     fn serve_operators(&mut self, events: &Events) {
         for event in events {
             let Source::ControlConnection(key) = Source::of(event) else { continue };
-            self.control.iter_mut().for_each(|c| c.woke(key, self.event_loop.now));
+            self.control.iter_mut().for_each(|c| c.connection_ready(key, self.event_loop.now));
         }
         for event in events {
             let Source::AdminConnection(key) = Source::of(event) else { continue };
-            self.called(key);
+            self.serve_admin_caller(key);
         }
         if let Some(admin) = &mut self.admin {
             let token = |key| Source::AdminConnection(key).token();
             admin.accept(self.event_loop.registry(), self.event_loop.now, token);
         }
-        self.controlled();
+        self.serve_controllers();
     }
 
     /// Writes to cache nodes what has become ready. Everything for one connection goes out together.
@@ -362,7 +362,7 @@
         loop {
             if let Some(event) = self.boxes.next_event() {
                 self.handle_attempt_event(event);
-            } else if let Some(event) = self.clients.news() {
+            } else if let Some(event) = self.clients.next_event() {
                 self.handle_client_event(event);
             } else if self.pending_events.is_empty() {
                 return;
@@ -373,16 +373,16 @@
 
     // ---- discovery ----
 
-    fn handle_discovery(&mut self, answer: Option<Answer>) {
+    fn handle_discovery(&mut self, answer: Option<PollResult>) {
         match answer {
             None => {}
-            Some(Answer::News(update)) => {
+            Some(PollResult::Update(update)) => {
                 self.discovery_failed = false;
-                let kind = if update.whole { ListKind::Full } else { ListKind::Delta };
+                let kind = if update.full { ListKind::Full } else { ListKind::Delta };
                 let entries = self.apply_list(update);
                 self.pending_events.push_back(Event::ServerList { kind, entries });
             }
-            Some(Answer::Failed(e)) => {
+            Some(PollResult::Failed(e)) => {
                 // Of consecutive failures only the first is logged.
                 let failed_before = std::mem::replace(&mut self.discovery_failed, true);
                 (!failed_before).then(|| eprintln!("discovery: {e}"));
@@ -391,7 +391,7 @@
     }
 
     /// Applies an update of the list of cache nodes. Returns its entries for the balancer.
-    fn apply_list(&mut self, update: discovery::News) -> Vec<ServerEntry> {
+    fn apply_list(&mut self, update: ListUpdate) -> Vec<ServerEntry> {
         self.boxes.apply_list(&update, self.event_loop.now);
         self.update_candidates();
         self.observers.notify(Notification::List);
@@ -402,7 +402,7 @@
     /// Reads the configuration file again and applies the address of discovery; all other settings take effect at the
     /// next start. If the file is not valid, the current configuration stays in force.
     fn reload(&mut self) {
-        self.signals.hung_up();
+        self.signals.clear_hangup();
         match Config::from_env() {
             Err(e) => eprintln!("reload: {e}; keeping the current configuration"),
             Ok(new) if new.discovery == self.config.discovery => {
@@ -419,7 +419,7 @@
     /// Moves discovery to the configured address. The new discovery service is asked for its complete list, because
     /// versions of one service mean nothing to another.
     fn discovery_address_changed(&mut self) {
-        self.discovery.moved(self.config.discovery, self.event_loop.now);
+        self.discovery.change_address(self.config.discovery, self.event_loop.now);
         self.discovery_failed = false;
     }
 
@@ -434,7 +434,7 @@
                 TimerEvent::AttemptTimeout(id, attempt) => self.end_attempt(id, attempt, Status::Timeout),
                 TimerEvent::ConnectTimeout(key, serial) => self.boxes.connect_timeout(key, serial, now),
                 TimerEvent::ConnectionAttemptDelay(key, serial) => self.boxes.start_race(key, serial, now),
-                TimerEvent::ResumeAccept => self.clients.knocked(),
+                TimerEvent::ResumeAccept => self.clients.listener_ready(),
                 TimerEvent::ShadowTimeout(number) => {
                     self.shadow_traffic.iter_mut().for_each(|s| s.copy_timeout(number, now));
                 }
@@ -456,7 +456,7 @@
             // Descriptors that clients leave unused become available to nodes again.
             self.boxes.make_room(self.descriptor_budget, self.clients.count());
         }
-        let answer = self.discovery.sweep(self.event_loop.registry(), now);
+        let answer = self.discovery.expire_polls(self.event_loop.registry(), now);
         self.handle_discovery(answer);
         self.close_after_drain_window();
         self.admin.iter_mut().for_each(|a| a.sweep(now));
@@ -467,7 +467,7 @@
     // ---- shutdown ----
 
     fn handle_sigterm(&mut self) {
-        self.signals.terminated();
+        self.signals.clear_terminate();
         // Copying of reads stops at once.
         self.shadow_traffic = None;
         self.terminating_since.get_or_insert(self.event_loop.now);
@@ -482,7 +482,7 @@
         }
         self.closed_to_clients = true;
         // Connections that the kernel has already accepted would be reset when the listener is closed.
-        self.clients.knocked();
+        self.clients.listener_ready();
         let _ = self.accept_clients();
         self.clients.stop(&self.config, &mut self.buffer, self.event_loop.now);
     }
@@ -490,7 +490,7 @@
     fn is_finished(&self) -> bool {
         self.terminating_since.is_some_and(|at| {
             let all_answered = self.closed_to_clients && self.clients.is_empty();
-            all_answered || self.event_loop.now >= at + self.config.longest + EXIT_GRACE
+            all_answered || self.event_loop.now >= at + self.config.max_deadline + EXIT_GRACE
         })
     }
 }
@@ -504,6 +504,6 @@
 fn reserved_descriptors(config: &Config, operator: &operator::Operator) -> usize {
     let control = operator.control.as_ref().map_or(0, |c| c.max_connections + 1);
     let shadow = operator.shadow.as_ref().map_or(0, |s| s.connections);
-    let admin = config.admin.map_or(0, |_| admin::PLACES + 1);
+    let admin = config.admin.map_or(0, |_| admin::MAX_CALLERS + 1);
     RESERVED_DESCRIPTORS + control + shadow + admin
 }
