--- a/crates/proxy/src/boxes/membership.rs
+++ b/crates/proxy/src/boxes/membership.rs
@@ -2,7 +2,7 @@
 
 use super::node::Node;
 use super::Boxes;
-use crate::platform::discovery::News as List;
+use crate::platform::discovery::ListUpdate;
 use calicosaddle::api::{Nanos, ServerId, ServerState};
 use rustc_hash::FxHashSet;
 
@@ -22,8 +22,8 @@
     }
 
     /// Applies a full list or an update from discovery.
-    pub fn apply_list(&mut self, list: &List, now: Nanos) {
-        if list.whole {
+    pub fn apply_list(&mut self, list: &ListUpdate, now: Nanos) {
+        if list.full {
             let listed: FxHashSet<ServerId> = list.hosts.iter().map(|h| h.entry.server).collect();
             let missing: Vec<ServerId> =
                 self.nodes.keys().copied().filter(|id| !listed.contains(id)).collect();
@@ -41,11 +41,11 @@
             let new = || Node::new(host.name.clone(), entry.clone(), drained);
             let node = self.nodes.entry(entry.server).or_insert_with(new);
             // A removed host may be listed without addresses; the known ones stay then.
-            let has_addresses = !host.dials.is_empty() || entry.state != ServerState::Removed;
-            let moved = (has_addresses && node.addresses.update(&host.dials, now))
+            let has_addresses = !host.addresses.is_empty() || entry.state != ServerState::Removed;
+            let moved = (has_addresses && node.addresses.update(&host.addresses, now))
                 || node.entry.started_at != entry.started_at;
-            if moved && !host.faults.is_empty() {
-                eprintln!("{}: ignored invalid addresses: {}", host.name, host.faults.join("; "));
+            if moved && !host.invalid_addresses.is_empty() {
+                eprintln!("{}: ignored invalid addresses: {}", host.name, host.invalid_addresses.join("; "));
             }
             node.entry = entry.clone();
             node.update_leaving(now);
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -193,7 +193,7 @@
         self.pipeline_config =
             pipeline_config(&self.pipeline_options, config).unwrap_or(self.pipeline_config);
         self.pipeline_config.settle_delay = self.pipeline_config.settle_delay.with_learned(learned);
-        self.configured_idle_limit = (config.idle as f64 * USABLE_IDLE_FRACTION) as Nanos;
+        self.configured_idle_limit = (config.connection_idle_timeout as f64 * USABLE_IDLE_FRACTION) as Nanos;
         self.idle_limit = self.idle_outcomes.limit(self.configured_idle_limit);
     }
 
@@ -257,7 +257,7 @@
 mod tests {
     use super::*;
     use crate::platform::config::tests::sample;
-    use crate::platform::discovery::{Host, News as List};
+    use crate::platform::discovery::{Host, ListUpdate};
     use crate::request::tests::query;
     use addresses::Address;
     use calicosaddle::api::ServerEntry;
@@ -273,14 +273,19 @@
 
     fn host(entry: ServerEntry, listener: &TcpListener) -> Host {
         let address = listener.local_addr().expect("local address");
-        Host { name: "s-7".into(), entry, dials: vec![Address::Tcp(address)], faults: Vec::new() }
+        Host {
+            name: "s-7".into(),
+            entry,
+            addresses: vec![Address::Tcp(address)],
+            invalid_addresses: Vec::new(),
+        }
     }
 
     /// With one node, 7, at the listener's address.
     fn with_node(listener: &TcpListener, poll: &mio::Poll) -> Boxes {
         let mut boxes = empty(&sample(), poll);
         let hosts = vec![host(ServerEntry { server: 7, ..ServerEntry::default() }, listener)];
-        boxes.apply_list(&List { version: 1, whole: true, hosts }, 0);
+        boxes.apply_list(&ListUpdate { version: 1, full: true, hosts }, 0);
         boxes
     }
 
@@ -429,8 +434,8 @@
         let poll = mio::Poll::new().expect("create a poll");
         let mut boxes = empty(&sample(), &poll);
         let mut host = host(ServerEntry { server: 7, ..ServerEntry::default() }, &listener);
-        host.dials.insert(0, Address::Tcp(unreachable));
-        boxes.apply_list(&List { version: 1, whole: true, hosts: vec![host] }, 0);
+        host.addresses.insert(0, Address::Tcp(unreachable));
+        boxes.apply_list(&ListUpdate { version: 1, full: true, hosts: vec![host] }, 0);
         let keys: Vec<_> = (0..4).filter_map(|_| boxes.send(7, queued(&sample()), 0)).collect();
         assert_eq!((keys.len(), boxes.racing_dials), (4, 0));
         for (key, new) in &keys {
--- a/crates/proxy/src/boxes/settings.rs
+++ b/crates/proxy/src/boxes/settings.rs
@@ -38,7 +38,7 @@
 /// # Errors
 /// One line for each key that exceeds its bound, with the key, its value and the bound.
 pub fn pipeline_config(options: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
-    let max_depth = config.streams;
+    let max_depth = config.max_streams;
     let bound_error = |(key, depth): &(&str, Option<usize>)| {
         let depth = depth.filter(|d| *d > max_depth)?;
         Some(format!("pipeline.{key}: is {depth}; settings.caps.streams_per_conn allows {max_depth}"))
--- a/crates/proxy/src/boxes/status.rs
+++ b/crates/proxy/src/boxes/status.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::node::{state_name, Node};
 use super::{Boxes, MS};
-use crate::platform::discovery::Names;
+use crate::platform::discovery::TopologyNames;
 use addresses::Address;
 use calicosaddle::api::{Nanos, ServerState};
 use control::message::{BoxStatus, Pipelines, DEPTHS};
@@ -40,7 +40,7 @@
     }
 
     /// The nodes in discovery's JSON form, ordered by name.
-    pub fn hosts(&self, names: &Names) -> Vec<Value> {
+    pub fn hosts(&self, names: &TopologyNames) -> Vec<Value> {
         let is_listed = |n: &&Node| n.entry.state != ServerState::Removed && !n.addresses.is_empty();
         let mut nodes: Vec<&Node> = self.nodes.values().filter(is_listed).collect();
         nodes.sort_unstable_by(|a, b| a.name.cmp(&b.name));
@@ -51,7 +51,7 @@
             let is_tcp = |a: &&Address| matches!(a, Address::Tcp(_));
             let dial = n.addresses.addresses().find(is_tcp).map(Address::to_string);
             let mut host = json!({"host": n.name, "dial": dial, "site": name(&names.zones, e.zone),
-                "class": name(&names.kinds, e.kind), "block": e.cell, "health": state_name(e.state),
+                "class": name(&names.machine_kinds, e.kind), "block": e.cell, "health": state_name(e.state),
                 "share": e.weight, "born_ms": e.started_at / MS});
             if dials.len() != 1 || dial.is_none() {
                 host["dials"] = json!(dials);
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -48,8 +48,8 @@
     let classes = copied_classes(operator, config, &mut faults);
     let tenants = copied_tenants(operator, config, &mut faults);
     for (i, candidate) in operator.candidates.iter().enumerate() {
-        let mut hosts = config.known.iter().flat_map(|k| &k.hosts);
-        if let Some(host) = hosts.find(|h| h.dials.iter().any(|d| is_tcp_address(d, *candidate))) {
+        let mut hosts = config.known_list.iter().flat_map(|k| &k.hosts);
+        if let Some(host) = hosts.find(|h| h.addresses.iter().any(|d| is_tcp_address(d, *candidate))) {
             faults.push(format!("shadow.candidates[{i}]: {candidate} is the live box {:?}", host.name));
         }
     }
@@ -546,7 +546,7 @@
     pub(crate) fn sweep_shadow_traffic(&mut self, loop_delay: Nanos) {
         let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
         let counters = self.observers.counters;
-        let (open, room) = (self.requests.len(), self.config.max_open);
+        let (open, room) = (self.requests.len(), self.config.max_open_requests);
         let load = Vitals { loop_delay, open, room, ..Vitals::default() };
         shadow_traffic.sweep(load, [counters.served, counters.refused], self.event_loop.now);
         self.persist_shadow_state();
