--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -1,6 +1,6 @@
 //! The contact to one instance's control endpoint.
 
-use control::message::{line, Answer, Body, Known, Status};
+use control::message::{encode_line, Answer, Body, KnownList, Status};
 use control::{Code, Decoder, Error, Op, Reply, Request, MAX_REPLY};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -79,7 +79,7 @@
     let mut open: HashMap<String, (Instant, oneshot::Sender<Result<Answer, Error>>)> = HashMap::new();
     let (mut next, mut version) = (0u64, None);
     let watch = Request::new("watch", Op::Watch { every_ms: Some(BEAT.as_millis() as u64) });
-    if output.write_all(&line(&watch)).await.is_err() {
+    if output.write_all(&encode_line(&watch)).await.is_err() {
         return Talk::Broken;
     }
     let mut heard = Instant::now();
@@ -102,7 +102,7 @@
                     let status = match reply.body {
                         Body::Event(status) => status,
                         Body::Ok(Answer::Status(status)) if reply.id == "watch" => status,
-                        Body::Ok(Answer::Known(Known { known })) if reply.id == "list" => {
+                        Body::Ok(Answer::KnownList(KnownList { known })) if reply.id == "list" => {
                             if !known.is_null() && !tell(Heard::Known(known)) {
                                 return Talk::Over;
                             }
@@ -120,7 +120,7 @@
                         }
                     };
                     if std::mem::replace(&mut version, status.list.version) != status.list.version
-                        && output.write_all(&line(&Request::new("list", Op::List))).await.is_err()
+                        && output.write_all(&encode_line(&Request::new("list", Op::List))).await.is_err()
                     {
                         return Talk::Broken;
                     }
@@ -133,7 +133,7 @@
                 let Some((op, answer)) = ask else { return Talk::Over };
                 next += 1;
                 let id = format!("a{next}");
-                let request = line(&Request::new(id.clone(), op));
+                let request = encode_line(&Request::new(id.clone(), op));
                 let write = output.write_all(&request);
                 if !matches!(timeout_at(Instant::now() + SILENT, write).await, Ok(Ok(()))) {
                     return Talk::Broken;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -17,9 +17,9 @@
 
 /// A frame was longer than its bound; nothing after it can be understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong {
+pub struct FrameTooLong {
     /// The bound, in bytes.
-    pub most: usize,
+    pub limit: usize,
 }
 
 /// Splits a stream into lines. No byte is looked at twice, and no more than the bound is kept.
@@ -36,7 +36,7 @@
     }
 
     /// A frame has begun and not ended.
-    pub fn midway(&self) -> bool {
+    pub fn has_partial_frame(&self) -> bool {
         !self.partial.is_empty()
     }
 
@@ -45,12 +45,12 @@
     ///
     /// # Errors
     /// The frame is longer than the bound.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Vec<u8>>), TooLong> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<Vec<u8>>), FrameTooLong> {
         let end = memchr::memchr(b'\n', input);
         let part = &input[..end.unwrap_or(input.len())];
         if self.partial.len() + part.len() > self.most {
             self.partial = Vec::new();
-            return Err(TooLong { most: self.most });
+            return Err(FrameTooLong { limit: self.most });
         }
         self.partial.extend_from_slice(part);
         let Some(end) = end else { return Ok((input.len(), None)) };
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -130,16 +130,16 @@
     /// To `boxes`.
     Boxes(Page),
     /// To `list`.
-    Known(Known),
+    KnownList(KnownList),
     /// To `reconfigure`.
     Reconfigured(Reconfigured),
     /// To `shadow-start`, `shadow-stop` and `shadow-status`.
-    Copying(Box<Copying>),
+    Shadow(Box<ShadowStatus>),
 }
 
 /// How copying to candidates stands, and what it shows.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Copying {
+pub struct ShadowStatus {
     /// How it stands.
     pub status: shadow::Status,
     /// What it shows at this instance alone.
@@ -215,7 +215,7 @@
 }
 
 /// The edges of the classes of [`Pipelines::depths`]: a connection with fewer commands is in the class before.
-pub const DEPTHS: [usize; 4] = [1, 2, 4, 8];
+pub const DEPTH_CLASS_BOUNDS: [usize; 4] = [1, 2, 4, 8];
 
 /// Connections to boxes, as pipelines.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Default)]
@@ -233,8 +233,8 @@
     /// Commands that were written whole on such, and may have run.
     pub uncertain: u64,
     /// Connections that ended for what came when nothing was asked.
-    #[serde(default)]
-    pub surplus: u64,
+    #[serde(default, rename = "surplus")]
+    pub unsolicited: u64,
 }
 
 impl Pipelines {
@@ -246,7 +246,7 @@
         self.moved += other.moved;
         self.breaks += other.breaks;
         self.uncertain += other.uncertain;
-        self.surplus += other.surplus;
+        self.unsolicited += other.unsolicited;
     }
 }
 
@@ -292,7 +292,7 @@
 
 /// A list in discovery's form.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Known {
+pub struct KnownList {
     /// `seq`, `whole`, `hosts`; null where no list is known, or where it is too long to be told.
     pub known: Value,
 }
@@ -417,7 +417,7 @@
 }
 
 /// Writes a message as a line.
-pub fn line(message: &impl Serialize) -> Vec<u8> {
+pub fn encode_line(message: &impl Serialize) -> Vec<u8> {
     // These types have no maps with other keys than strings: they can always be written.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// A later one is in force, or another one under the same number.
-pub fn follows(what: &str, now: u64, next: u64, same: bool) -> Result<bool, Error> {
+pub fn should_apply(what: &str, now: u64, next: u64, same: bool) -> Result<bool, Error> {
     match next.cmp(&now) {
         std::cmp::Ordering::Greater => Ok(true),
         std::cmp::Ordering::Equal if same => Ok(false),
@@ -66,7 +66,7 @@
             let message = format!("{} boxes are to be drained; {MAX_DRAINED} are the most", boxes.len());
             return Err(Error::new(Code::BadRequest, message));
         }
-        let change = follows("revision", self.revision, revision, boxes == self.boxes)?;
+        let change = should_apply("revision", self.revision, revision, boxes == self.boxes)?;
         Ok(change.then(|| State { revision, boxes, ..self.clone() }))
     }
 
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// It is no name of a box, or there are too many.
-    pub fn with_box(&self, name: &str, drained: bool) -> Result<Option<State>, Error> {
+    pub fn with_box_drained(&self, name: &str, drained: bool) -> Result<Option<State>, Error> {
         check(name)?;
         if self.boxes.contains(name) == drained {
             return Ok(None);
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! Frames in any pieces, requests of any shape, and the order of changes.
 
-use control::message::{line, Answer, Body, Reconfigured};
-use control::state::{follows, MAX_DRAINED};
+use control::message::{encode_line, Answer, Body, Reconfigured};
+use control::state::{should_apply, MAX_DRAINED};
 use control::{Code, Decoder, Op, Reply, Request, State, VERSION};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -36,7 +36,7 @@
             }
             let wanted: Vec<String> = lines.into_iter().filter(|l| !l.is_empty()).collect();
             prop_assert_eq!(found, wanted);
-            prop_assert!(!decoder.midway());
+            prop_assert!(!decoder.has_partial_frame());
             Ok(())
         })
         .unwrap();
@@ -47,7 +47,7 @@
     let mut decoder = Decoder::new(8);
     assert_eq!(decoder.feed(b"12345678"), Ok((8, None)));
     assert!(decoder.feed(b"9").is_err());
-    assert!(!decoder.midway(), "nothing of it is kept");
+    assert!(!decoder.has_partial_frame(), "nothing of it is kept");
     assert!(Decoder::new(8).feed(&[b'x'; 60 << 20]).is_err());
 }
 
@@ -84,7 +84,7 @@
         needs_restart: vec![],
     };
     let reply = Reply { v: VERSION, id: "9".into(), body: Body::Ok(Answer::Reconfigured(done)) };
-    let text = line(&reply);
+    let text = encode_line(&reply);
     assert_eq!(serde_json::from_slice::<Reply>(&text).expect("good"), reply);
     let json: serde_json::Value = serde_json::from_slice(&text).expect("JSON");
     assert_eq!(json["ok"]["changes"], json!(["discovery"]));
@@ -101,11 +101,11 @@
     assert_eq!((one.revision, one.boxes.len()), (3, 2));
     assert_eq!(one.with_drained(2, vec![]).expect_err("older").code, Code::Stale);
     assert_eq!(one.with_drained(3, vec!["b".into(), "a".into()]), Ok(None));
-    assert_eq!(one.with_box("a", true), Ok(None));
-    let two = one.with_box("a", false).expect("good").expect("new");
+    assert_eq!(one.with_box_drained("a", true), Ok(None));
+    let two = one.with_box_drained("a", false).expect("good").expect("new");
     assert_eq!((two.revision, two.boxes.len()), (4, 1));
-    assert!(follows("generation", 4, 5, false).expect("good"));
-    assert_eq!(one.with_box("", true).expect_err("no name").code, Code::BadRequest);
+    assert!(should_apply("generation", 4, 5, false).expect("good"));
+    assert_eq!(one.with_box_drained("", true).expect_err("no name").code, Code::BadRequest);
     let many = (0..=MAX_DRAINED).map(|i| i.to_string()).collect();
     assert_eq!(one.with_drained(9, many).expect_err("too many").code, Code::BadRequest);
 }
--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -4,7 +4,7 @@
 use crate::run::{all, owners, Exit, Voice};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use clap::Subcommand;
-use control::message::Copying;
+use control::message::ShadowStatus;
 use hyper::Method;
 use serde_json::{json, Value};
 use shadow::promote::{steps, ColdRule, Step};
@@ -73,7 +73,7 @@
 struct Said {
     agent: String,
     name: String,
-    copying: Result<Box<Copying>, String>,
+    copying: Result<Box<ShadowStatus>, String>,
 }
 
 /// A number that is greater than those of earlier orders: milliseconds of Unix time.
@@ -123,7 +123,7 @@
     all(each.chain((!whole || said.is_empty()).then_some(Exit::Failed)))
 }
 
-fn state(copying: &Copying) -> String {
+fn state(copying: &ShadowStatus) -> String {
     match copying.status.state {
         State::Off => "off".into(),
         State::On { .. } => "on".into(),
@@ -254,7 +254,7 @@
     let head = ["class", "quantile", "live, ms", "candidate, ms", "more, ms (95%)", "verdict"];
     out += &table(&head, report.times.iter().map(|q| quantile(q, classes).to_vec()));
     out += "<h2>Instances</h2>\n";
-    let hits = |c: &Copying| {
+    let hits = |c: &ShadowStatus| {
         let shares = c.status.counts.hits.iter().filter(|h| h[0] > 0);
         let shares: Vec<String> =
             shares.map(|h| format!("{:.0}", 100.0 * h[1] as f64 / h[0] as f64)).collect();
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -87,7 +87,7 @@
     pub writes: Option<usize>,
     /// `placing`: `fixed` (an idle connection, else a new one, else the least busy) or `expected` (the one on which
     /// the answer is expected first, a handshake counted; none if it is expected past its aim). `fixed` by default.
-    pub expected: bool,
+    pub expected_placement: bool,
     /// `handshake_cost`: with `expected`, the time that a handshake takes counts so many times more, for what it costs
     /// the box; 0 to 100, 2 by default.
     pub handshake_cost: f64,
@@ -97,9 +97,9 @@
     /// `rest_ms`: a connection to a box carries nothing new for so many milliseconds after an answer, and ends if
     /// anything comes meanwhile; 0 to 50. By default 5 where one command at a time goes out, 0 where more do. 0: no rest. Else
     /// it grows by itself, up to 50, where something came later.
-    pub rest_ms: Option<u64>,
+    pub settle_delay_ms: Option<u64>,
     /// `apart`: reads, writes and long writes don't share a connection. False by default.
-    pub apart: bool,
+    pub separate_kinds: bool,
     /// `batch_bytes`: commands that are ready together leave in one write of about so many bytes; 1 to 1,048,576,
     /// 65,536 by default. 1: one command a write.
     pub batch_bytes: usize,
@@ -108,7 +108,7 @@
     pub batch_delay_us: u64,
     /// `clients`: commands that a client's connection may have open; more are answered `-BUSY`. 1 to 1,024, 128 by
     /// default.
-    pub clients: usize,
+    pub commands_per_client: usize,
 }
 
 impl Default for Pipeline {
@@ -117,14 +117,14 @@
             enabled: true,
             reads: None,
             writes: None,
-            expected: false,
+            expected_placement: false,
             handshake_cost: 2.0,
             head_quantile: 1.0,
-            rest_ms: None,
-            apart: false,
+            settle_delay_ms: None,
+            separate_kinds: false,
             batch_bytes: 64 << 10,
             batch_delay_us: 0,
-            clients: 128,
+            commands_per_client: 128,
         }
     }
 }
@@ -203,14 +203,14 @@
 
 /// A file that can't be used: all that is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid {
+pub struct InvalidFile {
     /// The file, as it was named.
     pub file: String,
     /// At least one.
     pub faults: Vec<Fault>,
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidFile {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: ", self.file)?;
         for (i, Fault { key, reason }) in self.faults.iter().enumerate() {
@@ -222,16 +222,16 @@
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidFile {}
 
 impl Operator {
     /// Reads a file for the instance of this name.
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn load(path: &Path, instance: &str) -> Result<Operator, Invalid> {
+    pub fn load(path: &Path, instance: &str) -> Result<Operator, InvalidFile> {
         let file = path.display().to_string();
-        let whole = |reason: String| Invalid {
+        let whole = |reason: String| InvalidFile {
             file: file.clone(),
             faults: vec![Fault { key: String::new(), reason }],
         };
@@ -240,7 +240,7 @@
             return Err(whole(format!("is {length} bytes long; {MAX_FILE} are the most")));
         }
         let text = std::fs::read_to_string(path).map_err(|e| whole(format!("can't be read: {e}")))?;
-        Operator::parse(&text, instance).map_err(|faults| Invalid { file, faults })
+        Operator::parse(&text, instance).map_err(|faults| InvalidFile { file, faults })
     }
 
     /// Reads the text of a file for the instance of this name.
@@ -467,7 +467,7 @@
         let cost = s.number("handshake_cost", 0.0..=100.0, errors);
         let quantile = s.number("head_quantile", 0.5..=1.0, errors);
         let rest = s.integer("rest_ms", 0..=50, errors);
-        let apart = s.boolean("apart", errors).unwrap_or(default.apart);
+        let apart = s.boolean("apart", errors).unwrap_or(default.separate_kinds);
         let bytes = s.integer("batch_bytes", 1..=1 << 20, errors);
         let delay = s.integer("batch_delay_us", 0..=5_000, errors);
         let clients = s.integer("clients", 1..=MAX_DEPTH, errors);
@@ -476,14 +476,14 @@
             enabled,
             reads,
             writes,
-            expected: placing.as_deref() == Some("expected"),
+            expected_placement: placing.as_deref() == Some("expected"),
             handshake_cost: cost.unwrap_or(default.handshake_cost),
             head_quantile: quantile.unwrap_or(default.head_quantile),
-            rest_ms: rest.map(|n| n as u64),
-            apart,
+            settle_delay_ms: rest.map(|n| n as u64),
+            separate_kinds: apart,
             batch_bytes: bytes.map_or(default.batch_bytes, |n| n as usize),
             batch_delay_us: delay.map_or(default.batch_delay_us, |n| n as u64),
-            clients: clients.map_or(default.clients, |n| n as usize),
+            commands_per_client: clients.map_or(default.commands_per_client, |n| n as usize),
         }
     }
 }
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -22,7 +22,8 @@
             && operator.boxes.user.is_some()
             && operator.boxes.password_file.is_some()
     );
-    let pipeline = Pipeline { reads: Some(8), writes: Some(8), rest_ms: Some(5), ..Pipeline::default() };
+    let pipeline =
+        Pipeline { reads: Some(8), writes: Some(8), settle_delay_ms: Some(5), ..Pipeline::default() };
     assert_eq!(operator.pipeline, pipeline);
     let users: Vec<_> = operator.clients.users.iter().map(|u| (&u.name[..], u.password.is_some())).collect();
     assert_eq!(users, [("kiosk", true), ("default", false)]);
@@ -96,7 +97,7 @@
     );
     let told = Operator::parse("version = 1\n[pipeline]\nplacing = \"expected\"\nhead_quantile = 1", "n0");
     let told = told.expect("good").pipeline;
-    assert_eq!((told.expected, told.head_quantile, told.batch_bytes), (true, 1.0, 65_536));
+    assert_eq!((told.expected_placement, told.head_quantile, told.batch_bytes), (true, 1.0, 65_536));
 }
 
 #[test]
--- a/crates/proxy/src/boxes/close.rs
+++ b/crates/proxy/src/boxes/close.rs
@@ -158,7 +158,7 @@
         let Some(c) = self.connections.get(key) else { return };
         if c.pipeline.head().is_none() {
             self.pipeline_config.settle_delay.record_unsolicited(now.saturating_sub(c.last_reply));
-            self.nodes.get_mut(&c.server).into_iter().for_each(|n| n.stats.surplus += 1);
+            self.nodes.get_mut(&c.server).into_iter().for_each(|n| n.stats.unsolicited += 1);
         }
         self.close_and_reassign(key, now);
     }
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -355,7 +355,7 @@
             );
             if unsolicited {
                 node.write_all(REPLY).expect("write to the proxy");
-                while boxes.nodes[&7].stats.surplus == 0 {
+                while boxes.nodes[&7].stats.unsolicited == 0 {
                     check_progress();
                     boxes.ready(key, false, &mut [0; 64], 6 * MS);
                 }
--- a/crates/proxy/src/boxes/settings.rs
+++ b/crates/proxy/src/boxes/settings.rs
@@ -51,11 +51,15 @@
     let depth = |configured: Option<usize>| configured.filter(|_| options.enabled).unwrap_or(1);
     let depth = [depth(options.reads), depth(options.writes)];
     // A settle delay before the first command is useless where further commands follow without one.
-    let settle_delay = options.rest_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
+    let settle_delay = options.settle_delay_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
     Ok(PipelineConfig {
-        placement: if options.expected { PlacementPolicy::Expected } else { PlacementPolicy::Fixed },
+        placement: if options.expected_placement {
+            PlacementPolicy::Expected
+        } else {
+            PlacementPolicy::Fixed
+        },
         max_depth: depth,
-        separate_kinds: options.apart,
+        separate_kinds: options.separate_kinds,
         head_quantile: options.head_quantile,
         handshake_cost: options.handshake_cost,
         settle_delay: SettleDelay::new(settle_delay),
--- a/crates/proxy/src/boxes/status.rs
+++ b/crates/proxy/src/boxes/status.rs
@@ -6,7 +6,7 @@
 use crate::platform::discovery::TopologyNames;
 use addresses::Address;
 use calicosaddle::api::{Nanos, ServerState};
-use control::message::{BoxStatus, Pipelines, DEPTHS};
+use control::message::{BoxStatus, Pipelines, DEPTH_CLASS_BOUNDS};
 use serde_json::{json, Value};
 
 impl Boxes {
@@ -84,7 +84,7 @@
     fn node_pipeline_stats(&self, node: &Node, now: Nanos) -> Pipelines {
         let mut stats = node.stats.clone();
         for c in node.connections.iter().filter_map(|key| self.connections.get(*key)) {
-            stats.depths[DEPTHS.iter().filter(|edge| c.depth() >= **edge).count()] += 1;
+            stats.depths[DEPTH_CLASS_BOUNDS.iter().filter(|edge| c.depth() >= **edge).count()] += 1;
             stats.oldest_head_ms = stats.oldest_head_ms.max(c.pipeline.head_age(now).unwrap_or(0) / MS);
         }
         stats
--- a/crates/proxy/src/front/control.rs
+++ b/crates/proxy/src/front/control.rs
@@ -5,7 +5,7 @@
 //! that asks in a tight loop. Danger: under such a one the endpoint answers slowly; the service does not.
 
 use calicosaddle::api::Nanos;
-use control::message::{line, Body, Code, Error, Status};
+use control::message::{encode_line, Body, Code, Error, Status};
 use control::{Decoder, Op, Reply, Request, State, MAX_REPLY, MAX_REQUEST, VERSION};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -310,14 +310,14 @@
                     peer.waiting.extend(frame);
                 }
                 Err(long) => {
-                    let message = format!("the frame is longer than {} bytes", long.most);
+                    let message = format!("the frame is longer than {} bytes", long.limit);
                     peer.closing = true;
                     self.error(key, String::new(), Error::new(Code::BadFrame, message), now);
                     return;
                 }
             }
         }
-        peer.midway = peer.decoder.midway().then_some(peer.midway.unwrap_or(now));
+        peer.midway = peer.decoder.has_partial_frame().then_some(peer.midway.unwrap_or(now));
     }
 
     /// Answers a request.
@@ -328,7 +328,7 @@
             peer.closing = true;
             peer.waiting.clear();
         }
-        peer.out.extend(line(&Reply { v: VERSION, id, body }));
+        peer.out.extend(encode_line(&Reply { v: VERSION, id, body }));
         self.flush(key, now);
     }
 
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -10,9 +10,9 @@
 use crate::shadow_traffic::ShadowTraffic;
 use crate::{Proxy, MS};
 use ::control::message::{
-    Answer, Body, Code, Error, Known, List, Page, Phase, Reconfigured, Status, MAX_PAGE,
+    Answer, Body, Code, Error, KnownList, List, Page, Phase, Reconfigured, Status, MAX_PAGE,
 };
-use ::control::state::follows;
+use ::control::state::should_apply;
 use ::control::{Op, Request, State, MAX_REPLY};
 use calicosaddle::api::{server_id, Event, Nanos, ServerId};
 use serde_json::{json, Value};
@@ -89,11 +89,11 @@
                 let (boxes, more) = self.boxes.status_page(&after, limit, false, zones, self.event_loop.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
-            Op::List => return Ok(Answer::Known(Known { known: self.known_list() })),
+            Op::List => return Ok(Answer::KnownList(KnownList { known: self.known_list() })),
             Op::Drain => self.drain()?,
             Op::Undrain => self.undrain()?,
-            Op::DrainBox { name } => self.store_state(state.with_box(&name, true)?)?,
-            Op::UndrainBox { name } => self.store_state(state.with_box(&name, false)?)?,
+            Op::DrainBox { name } => self.store_state(state.with_box_drained(&name, true)?)?,
+            Op::UndrainBox { name } => self.store_state(state.with_box_drained(&name, false)?)?,
             Op::SetDrained { revision, boxes } => self.store_state(state.with_drained(revision, boxes)?)?,
             Op::ShadowStart { generation, lease_ms } => {
                 return self.run_shadow_order(|c, now| c.start(generation, lease_ms, now))
@@ -130,7 +130,7 @@
         self.update_candidates();
         self.persist_shadow_state();
         let copies = self.shadow_traffic.as_ref().map(|c| c.copying(&self.config.classes));
-        copies.map(|c| Answer::Copying(Box::new(c))).ok_or_else(|| Error::new(Code::Stopping, "it ends"))
+        copies.map(|c| Answer::Shadow(Box::new(c))).ok_or_else(|| Error::new(Code::Stopping, "it ends"))
     }
 
     // ---- drains ----
@@ -187,7 +187,7 @@
         self.boxes.check_config(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
         let (changes, needs_restart) = self.config.changes(&new);
         let same = changes.is_empty() && needs_restart.is_empty();
-        let next = follows("generation", self.config.generation, generation, same)?;
+        let next = should_apply("generation", self.config.generation, generation, same)?;
         let applied = needs_restart.is_empty();
         if applied && next && !dry_run {
             let (moved, settings) =
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -136,7 +136,7 @@
             descriptor_budget.for_clients(0),
             memory,
             users,
-            operator.pipeline.clients,
+            operator.pipeline.commands_per_client,
         );
         let drained = persisted.state.drained;
         if !drained {
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -14,7 +14,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use calicosaddle::api::{server_id, Nanos, RequestId, RetrySafety};
-use control::message::{Code, Copying, Error};
+use control::message::{Code, Error, ShadowStatus};
 use control::State;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Registry};
@@ -449,9 +449,9 @@
     }
 
     /// The status of copying, and the results of comparing the answers.
-    pub fn copying(&self, classes: &[String]) -> Copying {
+    pub fn copying(&self, classes: &[String]) -> ShadowStatus {
         let name = |class: &u32| classes.get(*class as usize).cloned().unwrap_or_default();
-        Copying {
+        ShadowStatus {
             status: self.shadow.status(),
             report: self.shadow.report(),
             samples: self.shadow.samples().copied().collect(),
