--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -19,7 +19,7 @@
     Sigterm,
     /// Delivery of SIGHUP.
     Sighup,
-    /// A discovery call, by its index among the concurrent ones.
+    /// A discovery poll, by its index among the concurrent ones.
     Discovery(usize),
     /// The listener of the control endpoint.
     ControlListener,
@@ -52,7 +52,7 @@
             Source::Sighup => encode(0, 2),
             Source::ControlListener => encode(0, 3),
             Source::AdminListener => encode(0, 4),
-            Source::Discovery(call) => encode(0, 5 + call),
+            Source::Discovery(poll) => encode(0, 5 + poll),
             Source::Client(key) => encode(1, key),
             Source::Node(key) => encode(2, key),
             Source::ControlConnection(key) => encode(3, key),
@@ -77,7 +77,7 @@
             (0, 2) => Source::Sighup,
             (0, 3) => Source::ControlListener,
             (0, 4) => Source::AdminListener,
-            (0, call) => Source::Discovery(call - 5),
+            (0, poll) => Source::Discovery(poll - 5),
             (1, key) => Source::Client(key),
             (2, key) => Source::Node(key),
             (3, key) => Source::ControlConnection(key),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -47,11 +47,11 @@
 const MS: Nanos = 1_000_000;
 /// How often all connections are checked for those that have waited too long.
 const SWEEP_INTERVAL: Nanos = 100 * MS;
-/// How long the proxy accepts clients after SIGTERM or a controller's drain: new connections may arrive for up to 400 ms
-/// after SIGTERM.
+/// How long the proxy accepts clients after SIGTERM or a controller's drain: new connections may arrive for up to
+/// 400 ms after SIGTERM.
 const DRAIN_WINDOW: Nanos = 450 * MS;
-/// The process exits the longest request deadline plus this long after SIGTERM, even with requests open, because SIGKILL
-/// follows 100 ms later.
+/// The process exits the longest request deadline plus this long after SIGTERM, even with requests open, because
+/// SIGKILL follows 100 ms later.
 const EXIT_GRACE: Nanos = 600 * MS;
 /// How long accepting is suspended after descriptors ran out.
 const ACCEPT_PAUSE: Nanos = 20 * MS;
@@ -103,7 +103,7 @@
     has_been_ready: bool,
     /// Whether the instance was in phase `Stopped` at the last sweep.
     was_stopped: bool,
-    /// The last discovery call failed.
+    /// The last discovery poll failed.
     discovery_failed: bool,
     /// When the next sweep is due.
     sweep_due: Nanos,
@@ -152,7 +152,7 @@
         });
         let known = config.known_list.take();
         let version = known.as_ref().map(|k| k.version);
-        let discovery_tokens = std::array::from_fn(|call| Source::Discovery(call).token());
+        let discovery_tokens = std::array::from_fn(|poll| Source::Discovery(poll).token());
         let mut proxy = Proxy {
             signals,
             balancer: Balancer::new(config.settings.clone(), config.seed),
@@ -220,8 +220,8 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         while !self.is_finished() {
-            let has_calls = self.admin.as_ref().is_some_and(Admin::has_pending_work);
-            let has_more = self.clients.has_pending_work() || self.boxes.has_unread_input() || has_calls;
+            let has_admin_work = self.admin.as_ref().is_some_and(Admin::has_pending_work);
+            let has_more = self.clients.has_pending_work() || self.boxes.has_unread_input() || has_admin_work;
             let control_due = self.control.as_ref().and_then(ControlEndpoint::work_due);
             let work_due = control_due.into_iter().chain(self.boxes.next_write_at());
             let work_due = work_due.chain([self.discovery.next_wakeup()]).min();
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Handles the listeners, signals and discovery calls that are ready.
+    /// Handles the listeners, signals and discovery polls that are ready.
     fn handle_listeners(&mut self, events: &Events) {
         for event in events {
             match Source::of(event) {
@@ -292,8 +292,8 @@
                 Source::ControlListener => self.control.iter_mut().for_each(ControlEndpoint::listener_ready),
                 Source::Discovery(_) => {
                     let (registry, now) = (self.event_loop.registry(), self.event_loop.now);
-                    let answer = self.discovery.handle_ready(registry, event.token(), now);
-                    self.handle_discovery(answer);
+                    let result = self.discovery.handle_ready(registry, event.token(), now);
+                    self.handle_discovery(result);
                 }
                 Source::Client(_)
                 | Source::Node(_)
@@ -306,8 +306,8 @@
         }
     }
 
-    /// Writes to clients that can take more of their answers, and reads from clients. The clock is read again for each socket,
-    /// as in [`Proxy::read_nodes`].
+    /// Writes to clients that can take more of their answers, and reads from clients. The clock is read again for each
+    /// socket, as in [`Proxy::read_nodes`].
     fn read_clients(&mut self, events: &Events) {
         for key in self.clients.take_pending_reads() {
             self.clients.read(key, true, &self.config, &mut self.buffer, self.event_loop.now);
@@ -373,8 +373,8 @@
 
     // ---- discovery ----
 
-    fn handle_discovery(&mut self, answer: Option<PollResult>) {
-        match answer {
+    fn handle_discovery(&mut self, result: Option<PollResult>) {
+        match result {
             None => {}
             Some(PollResult::Update(update)) => {
                 self.discovery_failed = false;
@@ -456,8 +456,8 @@
             // Descriptors that clients leave unused become available to nodes again.
             self.boxes.make_room(self.descriptor_budget, self.clients.count());
         }
-        let answer = self.discovery.expire_polls(self.event_loop.registry(), now);
-        self.handle_discovery(answer);
+        let result = self.discovery.expire_polls(self.event_loop.registry(), now);
+        self.handle_discovery(result);
         self.close_after_drain_window();
         self.admin.iter_mut().for_each(|a| a.sweep(now));
         self.sweep_control();
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -83,7 +83,7 @@
                 load_report: Vec::new(),
             }),
             Action::CloseIdle(server) => self.boxes.close_idle(server),
-            // For hosts that hold a subscription to discovery; this proxy schedules its discovery calls itself.
+            // For hosts that hold a subscription to discovery; this proxy schedules its discovery polls itself.
             Action::Subscribe => {}
         }
     }
@@ -97,7 +97,7 @@
         let Some(started) = self.requests.start_attempt(id, server, max_attempts, now) else { return };
         self.observers.notify(Notification::Attempt);
         let attempt = started.number;
-        if started.is_moot {
+        if started.must_not_send {
             self.end_attempt(id, attempt, Status::NotSent);
             return;
         }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -245,7 +245,7 @@
     /// The request's deadline.
     pub deadline: Nanos,
     /// The request allows no further attempt: this one must not be sent.
-    pub is_moot: bool,
+    pub must_not_send: bool,
 }
 
 /// The open requests.
@@ -318,8 +318,9 @@
         let number = open.attempts_started;
         open.attempts_started += 1;
         open.open_attempts.push(Attempt { number, server, sent: now, connection: None });
-        let is_moot = open.answered || open.client_left || open.deadline <= now || number >= max_attempts;
-        Some(StartedAttempt { number, query: open.query.clone(), deadline: open.deadline, is_moot })
+        let must_not_send =
+            open.answered || open.client_left || open.deadline <= now || number >= max_attempts;
+        Some(StartedAttempt { number, query: open.query.clone(), deadline: open.deadline, must_not_send })
     }
 
     /// Records the connection that carries an attempt.
@@ -409,13 +410,13 @@
         // A second request with the same client id is not accepted while the first is open.
         assert!(table.insert(2, slot, query(&config), 0, MS).is_none());
         let first = table.start_attempt(1, 7, 2, MS).expect("started");
-        assert_eq!((first.number, first.is_moot), (0, false));
+        assert_eq!((first.number, first.must_not_send), (0, false));
         table.set_connection(1, 0, 5);
         assert_eq!(table.attempt(1, 0).and_then(|a| a.connection), Some(5));
         assert_eq!(table.mark_answered(1), Some((slot, 0)));
         assert_eq!(table.mark_answered(1), None);
         assert!(!table.mark_client_left(1) && !table.is_unanswered(1) && !table.is_orphaned(1));
-        assert!(table.start_attempt(1, 7, 2, MS).is_some_and(|a| a.is_moot));
+        assert!(table.start_attempt(1, 7, 2, MS).is_some_and(|a| a.must_not_send));
         table.retire(1);
         assert_eq!((table.len(), table.unanswered(), table.open_attempts(1)), (1, 0, vec![0, 1]));
         assert!(
@@ -436,9 +437,9 @@
             let mut table = RequestTable::default();
             table.insert(1, slot, query(&config), 0, 0).expect("accepted");
             assert!(!left || table.mark_client_left(1));
-            let is_moot = table.start_attempt(1, 7, max_attempts, now).expect("started").is_moot;
+            let must_not_send = table.start_attempt(1, 7, max_attempts, now).expect("started").must_not_send;
             assert!(!table.is_orphaned(1) && table.end_attempt(1, 0).is_some());
-            (is_moot, table.is_orphaned(1))
+            (must_not_send, table.is_orphaned(1))
         };
         assert_eq!(start(1, 489 * MS, false), (false, false));
         assert_eq!(start(0, 0, false), (true, false));
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -257,8 +257,8 @@
         }
     }
 
-    /// An idle connection to a candidate, opened if there is none. At the limit, the connection to another candidate that
-    /// has been idle longest is closed for it.
+    /// An idle connection to a candidate, opened if there is none. At the limit, the connection to another candidate
+    /// that has been idle longest is closed for it.
     fn idle_connection(&mut self, candidate: u64, registry: &Registry, now: Nanos) -> Option<usize> {
         let is_idle = |(_, c): &(usize, &Connection)| c.copy.is_none();
         let mut idle = self.connections.iter().filter(is_idle);
