--- a/crates/proxy/src/front/admin.rs
+++ b/crates/proxy/src/front/admin.rs
@@ -1,9 +1,9 @@
-//! Where operators call: a second address, one line a connection, one answer.
+//! The admin endpoint: a second address, at which a caller sends one command line per connection and gets one answer.
 //!
-//! Guards against callers that say nothing, half a line, or lines without end, and against many of them: each
-//! has a place of a few, the longest silent makes room, and what it sends past a line is read and dropped. It
-//! should also catch a tool that leaves its connections open. Danger: more callers at once than there are places
-//! would drive each other out; an answer takes one turn of the loop, so that takes a flood.
+//! Callers may be silent, send half a line or an endless one, leave their connections open, or be many. There are
+//! [`MAX_CALLERS`] connections at most, each has a time limit, a new caller replaces the oldest one, and input after the
+//! line is read and dropped. More simultaneous callers would evict each other, but an answer takes one iteration of the
+//! event loop, so only a flood does so.
 
 use calicosaddle::api::Nanos;
 use mio::net::{TcpListener, TcpStream};
@@ -13,29 +13,29 @@
 use std::net::{Shutdown, SocketAddr};
 
 const MS: Nanos = 1_000_000;
-/// Calls at once.
+/// The maximum number of connected callers.
 pub const MAX_CALLERS: usize = 16;
-/// The longest line.
-const MAX_LINE: usize = 128;
-/// A call is over after so long, whatever its caller does.
-const PATIENCE: Nanos = 5_000 * MS;
-/// Calls accepted in a turn.
-const ACCEPTS: usize = 8;
-
-/// What operators ask.
+/// The maximum length of a command line.
+const MAX_LINE_BYTES: usize = 128;
+/// How long after it was accepted a connection is closed, whatever its caller does.
+const CALL_TIMEOUT: Nanos = 5_000 * MS;
+/// The maximum number of connections accepted in an iteration of the event loop.
+const MAX_ACCEPTS: usize = 8;
+
+/// A command of an admin caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Does this process take clients?
+    /// Asks whether this process accepts clients.
     Ready,
-    /// The figures.
+    /// Asks for the metrics.
     ShowStat,
 }
 
 impl AdminCommand {
-    /// Reads a line.
+    /// Parses a command line.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The reason why the line is not a command.
     pub fn parse(line: &[u8]) -> Result<AdminCommand, &'static str> {
         match line.trim_ascii() {
             b"ready" => Ok(AdminCommand::Ready),
@@ -49,16 +49,16 @@
 #[derive(Debug)]
 struct Caller {
     stream: TcpStream,
-    began: Nanos,
+    accepted_at: Nanos,
     line: Vec<u8>,
-    out: Vec<u8>,
+    output: Vec<u8>,
     written: usize,
     answered: bool,
-    /// All is written and our side closed.
+    /// The answer is written and the sending side is closed.
     lingering: bool,
 }
 
-/// The operators' address.
+/// The admin endpoint.
 #[derive(Debug)]
 pub struct Admin {
     listener: TcpListener,
@@ -67,10 +67,10 @@
 }
 
 impl Admin {
-    /// Listens.
+    /// Listens at an address.
     ///
     /// # Errors
-    /// The address can't be had.
+    /// The address can't be listened at.
     pub fn open(address: SocketAddr, registry: &Registry, token: Token) -> Result<Self, String> {
         let open = || -> io::Result<TcpListener> {
             let mut listener = super::bind(address)?;
@@ -81,36 +81,36 @@
         Ok(Admin { listener, callers: Slab::new(), accepting: false })
     }
 
-    /// Notes that the listener has calls.
+    /// Notes that the listener has connections to accept.
     pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
 
-    /// True if there may be more calls to accept.
+    /// True if there may be more connections to accept.
     pub fn has_pending_work(&self) -> bool {
         self.accepting
     }
 
-    /// Accepts calls, up to a bound. Each is read when its socket says that it has something.
+    /// Accepts up to [`MAX_ACCEPTS`] connections. Each is read once its socket becomes readable.
     pub fn accept(&mut self, registry: &Registry, now: Nanos, token: impl Fn(usize) -> Token) {
-        for _ in 0..ACCEPTS {
-            // Without descriptors the next sweep tries again.
-            let accepted = super::next(&mut self.accepting, || self.listener.accept());
+        for _ in 0..MAX_ACCEPTS {
+            // If descriptors have run out, the next sweep tries again.
+            let accepted = super::accept_next(&mut self.accepting, || self.listener.accept());
             let Some(mut stream) = accepted else { return };
             if self.callers.len() >= MAX_CALLERS {
-                // Who has had the answer goes first, then who has been silent for longest.
-                let last = self.callers.iter().min_by_key(|(_, c)| (!c.lingering, c.began));
-                let last = last.map(|(key, _)| key);
-                last.into_iter().for_each(|key| drop(self.callers.try_remove(key)));
+                // Callers that have had their answer are replaced first, then the oldest one.
+                let evicted = self.callers.iter().min_by_key(|(_, c)| (!c.lingering, c.accepted_at));
+                let evicted = evicted.map(|(key, _)| key);
+                evicted.into_iter().for_each(|key| drop(self.callers.try_remove(key)));
             }
             let entry = self.callers.vacant_entry();
             let interest = Interest::READABLE | Interest::WRITABLE;
             if registry.register(&mut stream, token(entry.key()), interest).is_ok() {
                 entry.insert(Caller {
                     stream,
-                    began: now,
+                    accepted_at: now,
                     line: Vec::new(),
-                    out: Vec::new(),
+                    output: Vec::new(),
                     written: 0,
                     answered: false,
                     lingering: false,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Reads what a caller has sent; its call, once the line is whole.
+    /// Reads what a caller has sent, and returns its command once the line is complete.
     pub fn read_command(
         &mut self,
         key: usize,
@@ -130,7 +130,7 @@
             let caller = self.callers.get_mut(key)?;
             let n = match caller.stream.read(buffer) {
                 Ok(0) => {
-                    // A caller may end its sending and wait for the answer; half a line is no call.
+                    // A caller may close its sending side and wait for the answer. An incomplete line is not a command.
                     if !caller.answered || caller.lingering {
                         self.callers.try_remove(key);
                     }
@@ -147,10 +147,10 @@
             if caller.answered {
                 continue;
             }
-            let room = MAX_LINE + 1 - caller.line.len();
+            let remaining = MAX_LINE_BYTES + 1 - caller.line.len();
             let end = memchr::memchr(b'\n', &buffer[..n]);
-            caller.line.extend_from_slice(&buffer[..end.unwrap_or(n).min(room)]);
-            if caller.line.len() > MAX_LINE {
+            caller.line.extend_from_slice(&buffer[..end.unwrap_or(n).min(remaining)]);
+            if caller.line.len() > MAX_LINE_BYTES {
                 return Some(Err("the line is too long"));
             }
             if end.is_some() {
@@ -159,18 +159,18 @@
         }
     }
 
-    /// Answers a call.
+    /// Sends the answer to a command.
     pub fn answer(&mut self, key: usize, text: &str) {
         if let Some(caller) = self.callers.get_mut(key) {
-            (caller.out, caller.answered) = (text.as_bytes().to_vec(), true);
+            (caller.output, caller.answered) = (text.as_bytes().to_vec(), true);
             self.flush(key);
         }
     }
 
     fn flush(&mut self, key: usize) {
         let Some(caller) = self.callers.get_mut(key).filter(|c| c.answered && !c.lingering) else { return };
-        while caller.written < caller.out.len() {
-            match caller.stream.write(&caller.out[caller.written..]) {
+        while caller.written < caller.output.len() {
+            match caller.stream.write(&caller.output[caller.written..]) {
                 Ok(n) => caller.written += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -180,16 +180,17 @@
                 }
             }
         }
-        // Danger: closed with input unread, the answer could be lost to a reset.
+        // Closing a connection with unread input sends a reset, which may overtake the answer. So only the sending side
+        // is closed here.
         caller.lingering = true;
         if caller.stream.shutdown(Shutdown::Write).is_err() {
             self.callers.try_remove(key);
         }
     }
 
-    /// Ends calls that take too long.
+    /// Closes connections that have reached their time limit.
     pub fn sweep(&mut self, now: Nanos) {
-        self.callers.retain(|_, c| now.saturating_sub(c.began) < PATIENCE);
+        self.callers.retain(|_, c| now.saturating_sub(c.accepted_at) < CALL_TIMEOUT);
         self.accepting = true;
     }
 }
@@ -199,11 +200,11 @@
     use super::*;
 
     #[test]
-    fn a_call_is_one_word_on_a_line() {
+    fn a_command_is_one_lower_case_word_on_a_line() {
         assert_eq!(AdminCommand::parse(b"ready\r"), Ok(AdminCommand::Ready));
         assert_eq!(AdminCommand::parse(b" show-stat "), Ok(AdminCommand::ShowStat));
-        for wrong in [&b""[..], b"READY", b"ready now", b"show-stats", b"\xff"] {
-            assert!(AdminCommand::parse(wrong).is_err(), "{wrong:?}");
+        for invalid in [&b""[..], b"READY", b"ready now", b"show-stats", b"\xff"] {
+            assert!(AdminCommand::parse(invalid).is_err(), "{invalid:?}");
         }
     }
 }
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: the listener, their connections, and answers in the order of the commands.
+//! Client connections: the listener, the parsing of commands, and the answers, in the order of the commands.
 
 use crate::platform::config::Config;
 use crate::request::{Answer, Query, ReplySlot};
@@ -15,65 +15,74 @@
 use std::rc::Rc;
 
 const MS: Nanos = 1_000_000;
-/// A refusal: trying again is harmless.
-const BUSY: &[u8] = b"-BUSY\r\n";
-/// Answers waiting behind others, and commands refused, for each command that may be open: over so many the client is
-/// not reading, and is let go.
-const SLOTS: usize = 8;
-/// With so many bytes of answers unread, a client's further commands wait.
-const HIGH: usize = 4 * MAX_BUFFERED_VALUE_BYTES;
-/// What an idle connection keeps of its buffer.
-const KEPT: usize = 4 << 10;
-/// A client may take 2 s to write a command. One that has asked for nothing so long after connecting, or whose
-/// command is not whole after it, is let go; it is owed that within 3 s.
-const ASKING: Nanos = 2_400 * MS;
-/// The value of a command has to come on without pauses of that length, and to be whole after so long.
-const WRITING: Nanos = 30_000 * MS;
-/// The part of the room for unread answers that one client may have for a long value, and the most.
-const SHARE: usize = 4;
-const LARGEST: usize = 1 << 20;
-/// A client that reads nothing of its answers for so long is let go.
-const STALLED: Nanos = 5_000 * MS;
-/// Between requests a client may be silent for so long.
-const IDLE: Nanos = 10_000 * MS;
-/// The same for those that have asked, while more than a quarter of the places is taken by such clients: for those
-/// that asked once, and for others.
-/// Guards against clients that ask once and keep their connection for good: they would have all places, and
-/// where fronts may open only so many, nobody who wants to ask gets one. It should also catch pools that are
-/// larger than they are used. Danger: clients that ask every few seconds connect anew each time.
-const IDLE_CROWDED: [Nanos; 2] = [250 * MS, 2_000 * MS];
-/// After the last answer, the time that a client has to close its side, and what it may still send until then.
-const LINGER: Nanos = 250 * MS;
-const LINGER_BYTES: usize = 256 << 10;
-/// Reads of one connection before others have their turn.
-const READS: usize = 4;
-/// Connections accepted before others have their turn.
-const ACCEPTS: usize = 64;
-
-/// What clients did.
+/// The reply to a refused command. Nothing has been done for the command, so a retry is safe.
+const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
+/// The maximum number of unanswered commands and queued answers of a client, per command that it may have open. A client
+/// with more does not read its answers, and is disconnected.
+const SLOTS_PER_OPEN_COMMAND: usize = 8;
+/// With more unread bytes of answers than this, a client's further commands are not read.
+const MAX_UNREAD_BYTES: usize = 4 * MAX_BUFFERED_VALUE_BYTES;
+/// The capacity of the output buffer that an idle connection keeps.
+const IDLE_BUFFER_BYTES: usize = 4 << 10;
+/// How long after it connected a client may have sent no command, and how long a command may be incomplete. A client may
+/// take 2 s to write a command, and a slow one has to be disconnected within 3 s.
+const COMMAND_TIMEOUT: Nanos = 2_400 * MS;
+/// How long the value of a command may take. Pauses in it are limited to [`COMMAND_TIMEOUT`].
+const VALUE_TIMEOUT: Nanos = 30_000 * MS;
+/// One client may have unread bytes of a long value up to the free space for unread answers divided by this, ...
+const UNREAD_SHARE_DIVISOR: usize = 4;
+/// ... and up to this many bytes.
+const MAX_UNREAD_SHARE_BYTES: usize = 1 << 20;
+/// How long a client may read nothing of its answers before it is disconnected.
+const STALL_TIMEOUT: Nanos = 5_000 * MS;
+/// How long a client may be silent between requests.
+const IDLE_TIMEOUT: Nanos = 10_000 * MS;
+/// The idle timeouts while idle clients that have sent requests take more than a quarter of the places: for clients with
+/// one request so far, and for clients with more. Otherwise clients that send one request and keep their connection, or
+/// pools larger than needed, would take all places, and no client with a request could connect where upstream proxies
+/// may open only a limited number of connections. Clients with a request every few seconds then reconnect each time.
+const CROWDED_IDLE_TIMEOUTS: [Nanos; 2] = [250 * MS, 2_000 * MS];
+/// How long a client has to close its side after the last answer.
+const LINGER_TIMEOUT: Nanos = 250 * MS;
+/// The maximum number of bytes read and dropped after the last answer.
+const MAX_LINGER_BYTES: usize = 256 << 10;
+/// The maximum number of consecutive reads of one connection before others are served.
+const MAX_READS: usize = 4;
+/// The maximum number of connections accepted in an iteration of the event loop.
+const MAX_ACCEPTS: usize = 64;
+
+/// An event caused by a client.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// A request is to be answered.
+    /// A request has arrived.
     Query(RequestId, ReplySlot, Rc<Query>),
-    /// A request of this class was refused before it became one: there was no room for it.
+    /// A command of this class was refused before it became a request: its value did not fit in memory, or too many commands were open.
     Rejected(u32),
-    /// The client ended its sending and has this request open. It may still read: what is under way may be
-    /// answered, nothing new may be sent.
+    /// The client closed its sending side while this request was open. It may still read the answer: attempts in flight
+    /// may complete, but no new one may be sent.
     HalfClosed(RequestId),
-    /// There is room for more of the long value that is being passed on as this request's answer.
+    /// The client can take more of the long value that is being streamed as the answer to this request.
     ReadyForMore(RequestId),
-    /// The connection is gone, and nothing can be answered on it.
+    /// The connection is closed, so this request can't be answered.
     Disconnected(RequestId),
 }
 
+/// The place of a command's answer in the order of answers.
 #[derive(Debug)]
 enum Slot {
-    /// Not answered; the protocol is that in force when its command came.
+    /// Not answered yet; the protocol is the one in force when the command arrived.
     Waiting(RequestId, Protocol),
+    /// Answered; the bytes wait for the answers before them.
     Ready(Vec<u8>),
-    /// It is being answered with a long value; what has come of it while it waits for answers before it, and
-    /// whether no more is wanted for now.
-    Passing(RequestId, Protocol, Vec<u8>, bool),
+    /// A long value is being streamed as the answer.
+    Streaming {
+        id: RequestId,
+        protocol: Protocol,
+        /// What has arrived of the value while it waits for the answers before it.
+        queued: Vec<u8>,
+        /// True if the sender has been told to pause.
+        paused: bool,
+    },
 }
 
 #[derive(Debug)]
@@ -81,56 +90,60 @@
     stream: TcpStream,
     parser: CommandParser,
     session: Session,
-    /// The commands not yet answered in full; the first has this number.
+    /// The commands that have not been answered completely.
     slots: VecDeque<Slot>,
-    first: u64,
-    out: Vec<u8>,
+    /// The number of the first slot.
+    first_slot: u64,
+    output: Vec<u8>,
     written: usize,
     /// Bytes of answers that wait for those before them.
-    held: usize,
+    queued_bytes: usize,
+    /// It is listed in [`Clients::dirty`].
     dirty: bool,
-    /// When a command began of which more is to come.
-    midway_since: Option<Nanos>,
-    /// When it last sent anything, or took anything of its answers.
-    moved: Nanos,
-    /// Since when it has taken nothing of the answers that were offered to it.
-    stuck: Option<Nanos>,
-    /// When it connected, until it has said something that can be understood.
-    newcomer: Option<Nanos>,
-    /// How many requests it has had; counted up to two.
-    asked: u8,
-    /// It ended its sending.
+    /// Since when a command has been incomplete.
+    partial_since: Option<Nanos>,
+    /// When it last sent bytes or read bytes of its answers.
+    active_at: Nanos,
+    /// Since when its socket has accepted no more of the answers.
+    blocked_since: Option<Nanos>,
+    /// When it connected; `None` once it has sent a valid command.
+    awaiting_first_command_since: Option<Nanos>,
+    /// The number of its requests, counted up to two.
+    request_count: u8,
+    /// It has closed its sending side.
     eof: bool,
-    /// It is let go once all it is owed is written.
+    /// It is disconnected once all its answers are written.
     closing: bool,
-    /// All is written and our side closed; its input is read to keep a reset from overtaking the answers.
-    lingering: Option<Nanos>,
-    /// What has come since and was dropped.
-    dropped: usize,
-    /// Input was left unread, so that its answers don't pile up.
-    held_up: bool,
-    /// Input behind the head of a command whose value waits for room.
+    /// When our sending side was closed after the last answer. Input is still read, because a connection closed with
+    /// unread input is reset, and the reset may overtake the answers.
+    lingering_since: Option<Nanos>,
+    /// The number of bytes read and dropped since the connection began to close.
+    dropped_bytes: usize,
+    /// Reading is suspended because too many bytes of answers are unread.
+    read_suspended: bool,
+    /// Input behind the head of a command whose value waits for memory.
     pending: Vec<u8>,
 }
 
 impl Client {
-    /// A long value is being passed on to it now.
-    fn passing(&self) -> bool {
-        matches!(self.slots.front(), Some(Slot::Passing(..)))
+    /// True if a long value is being streamed to it.
+    fn is_streaming(&self) -> bool {
+        matches!(self.slots.front(), Some(Slot::Streaming { .. }))
     }
 
-    /// Bytes of answers that it has yet to read.
-    fn backlog(&self) -> usize {
-        self.out.len() - self.written + self.held
+    /// The number of bytes of answers that have not been written to its socket.
+    fn unread_bytes(&self) -> usize {
+        self.output.len() - self.written + self.queued_bytes
     }
 
-    fn idle(&self) -> bool {
-        self.slots.is_empty() && self.backlog() == 0 && !self.parser.in_progress()
+    /// True if no command and no answer is in progress.
+    fn is_idle(&self) -> bool {
+        self.slots.is_empty() && self.unread_bytes() == 0 && !self.parser.in_progress()
     }
 
-    /// Idle, and no command is waiting to be read: it may be closed.
-    fn quiet(&self) -> bool {
-        self.idle() && self.stream.peek(&mut [0]).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    /// True if it is idle and has no unread input, so that it may be closed.
+    fn is_closable(&self) -> bool {
+        self.is_idle() && self.stream.peek(&mut [0]).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
@@ -138,71 +151,76 @@
 #[derive(Debug)]
 pub struct Clients {
     listener: Option<TcpListener>,
-    all: Slab<Client>,
+    clients: Slab<Client>,
     address: SocketAddr,
-    /// The platform's socket at this address, where it keeps one. Other processes may accept from it as well.
+    /// The listening socket that the platform owns, if there is one. Other processes may accept from it as well.
     inherited: Option<std::net::TcpListener>,
     users: Users,
-    /// Connections that there ever were.
-    serial: u64,
-    /// Wrong passwords that clients gave.
+    /// The number of connections accepted so far.
+    accepted_count: u64,
     wrong_passwords: u64,
     next_id: RequestId,
-    limit: usize,
-    /// Commands that a connection may have open; more are refused.
-    depth: usize,
-    room: MemoryBudget,
-    /// Bytes of answers that clients have yet to read, and how many there may be.
-    backlog: usize,
-    max_backlog: usize,
-    /// The listener may have more.
+    /// The maximum number of connections.
+    max_clients: usize,
+    /// The maximum number of open commands on a connection; further ones are refused.
+    max_open_commands: usize,
+    /// The memory for long values of commands.
+    value_memory: MemoryBudget,
+    /// The number of unread bytes of answers of all clients.
+    unread_bytes: usize,
+    max_unread_bytes: usize,
+    /// The listener may have connections to accept.
     accepting: bool,
-    /// New requests are still taken, but each connection is closed after its answers.
+    /// Requests are still accepted, but each connection is closed after its answers.
     stopping: bool,
+    /// Connections with output to write.
     dirty: Vec<usize>,
-    /// Connections whose commands wait for room, in the order in which they came to.
-    waiting: VecDeque<usize>,
-    /// Connections that may have more input.
-    again: Vec<usize>,
-    news: VecDeque<ClientEvent>,
+    /// Connections whose commands wait for memory, in the order in which they began to wait.
+    waiting_for_memory: VecDeque<usize>,
+    /// Connections that may have unread input.
+    pending_reads: Vec<usize>,
+    events: VecDeque<ClientEvent>,
 }
 
 impl Clients {
-    /// None yet; at most `limit` connections with `depth` commands open on each, `memory` bytes each for long values
-    /// of commands and for answers not yet read. They will come to `address` once it is listened at, there or at the
-    /// platform's socket.
+    /// Creates a collection without clients, which accepts up to `max_clients` connections with up to
+    /// `max_open_commands` open commands each. Long values of commands may take `memory` bytes, and unread answers as
+    /// many. [`Clients::listen`] listens at `address`, or at the socket that the platform owns.
     pub fn new(
         address: SocketAddr,
         inherited: Option<std::net::TcpListener>,
-        limit: usize,
+        max_clients: usize,
         memory: usize,
         users: Users,
-        depth: usize,
+        max_open_commands: usize,
     ) -> Self {
         Clients {
             listener: None,
-            all: Slab::new(),
+            clients: Slab::new(),
             address,
             inherited,
             users,
-            serial: 0,
+            accepted_count: 0,
             wrong_passwords: 0,
             next_id: 1,
-            limit,
-            depth,
-            room: MemoryBudget::new(memory),
-            backlog: 0,
-            max_backlog: memory,
+            max_clients,
+            max_open_commands,
+            value_memory: MemoryBudget::new(memory),
+            unread_bytes: 0,
+            max_unread_bytes: memory,
             accepting: false,
             stopping: false,
             dirty: Vec::new(),
-            waiting: VecDeque::new(),
-            again: Vec::new(),
-            news: VecDeque::new(),
+            waiting_for_memory: VecDeque::new(),
+            pending_reads: Vec::new(),
+            events: VecDeque::new(),
         }
     }
 
-    /// Listens, for the first time or again after [`Clients::stop`].
+    /// Starts to listen, for the first time or again after [`Clients::stop`].
+    ///
+    /// # Errors
+    /// The socket can't be opened or registered.
     pub fn listen(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         let mut listener = match &self.inherited {
             Some(socket) => TcpListener::from_std(socket.try_clone()?),
@@ -213,50 +231,54 @@
         Ok(())
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn count(&self) -> usize {
-        self.all.len()
+        self.clients.len()
     }
 
-    /// How many wrong passwords clients gave.
+    /// The number of wrong passwords that clients have sent.
     pub fn wrong_passwords(&self) -> u64 {
         self.wrong_passwords
     }
 
-    /// The next thing that a client did.
+    /// Takes the next event.
     pub fn next_event(&mut self) -> Option<ClientEvent> {
-        self.news.pop_front()
+        self.events.pop_front()
     }
 
-    /// True if some socket may have more without saying so again.
+    /// True if a socket may have input that the event loop will not report again.
     pub fn has_pending_work(&self) -> bool {
-        !self.again.is_empty() || (self.accepting && self.has_place())
+        !self.pending_reads.is_empty() || (self.accepting && self.can_accept())
     }
 
-    fn has_place(&self) -> bool {
-        self.all.len() < self.limit || self.all.iter().any(|(_, c)| c.idle())
+    /// True if there is a free place, or an idle client that can be evicted.
+    fn can_accept(&self) -> bool {
+        self.clients.len() < self.max_clients || self.clients.iter().any(|(_, c)| c.is_idle())
     }
 
-    /// Notes that the listener has connections.
+    /// Notes that the listener has connections to accept.
     pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
 
-    /// Accepts what waits, up to a bound, with as many places as `limit` says beside so many clients. An error means
-    /// that descriptors or memory ran out.
+    /// Accepts up to [`MAX_ACCEPTS`] connections. `max_clients` gives the maximum number of connections for the current
+    /// one.
+    ///
+    /// # Errors
+    /// Descriptors or memory have run out.
     pub fn accept(
         &mut self,
         registry: &Registry,
         now: Nanos,
         token: impl Fn(usize) -> Token,
-        mut limit: impl FnMut(usize) -> usize,
+        mut max_clients: impl FnMut(usize) -> usize,
     ) -> io::Result<()> {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS {
             if self.accepting {
-                self.limit = limit(self.all.len());
+                self.max_clients = max_clients(self.clients.len());
             }
-            // Where all have requests open, the kernel keeps a newcomer until one ends.
-            if !self.accepting || !self.has_place() {
+            // While all clients have open requests, new connections wait in the kernel.
+            if !self.accepting || !self.can_accept() {
                 return Ok(());
             }
             let Some(listener) = &self.listener else { return Ok(()) };
@@ -277,85 +299,90 @@
                 }
             };
             let _ = stream.set_nodelay(true);
-            if self.all.len() >= self.limit {
+            if self.clients.len() >= self.max_clients {
                 self.evict();
             }
-            let entry = self.all.vacant_entry();
+            let entry = self.clients.vacant_entry();
             let key = entry.key();
             let interest = Interest::READABLE | Interest::WRITABLE;
             if let Err(e) = registry.register(&mut stream, token(key), interest) {
                 self.accepting = false;
                 return Err(e);
             }
-            self.serial += 1;
+            self.accepted_count += 1;
             entry.insert(Client {
                 stream,
-                parser: CommandParser::new(self.room.clone()),
-                session: Session::new(self.serial, &self.users),
+                parser: CommandParser::new(self.value_memory.clone()),
+                session: Session::new(self.accepted_count, &self.users),
                 slots: VecDeque::new(),
-                first: 0,
-                out: Vec::new(),
+                first_slot: 0,
+                output: Vec::new(),
                 written: 0,
-                held: 0,
+                queued_bytes: 0,
                 dirty: false,
-                midway_since: None,
-                moved: now,
-                stuck: None,
-                newcomer: Some(now),
-                asked: 0,
+                partial_since: None,
+                active_at: now,
+                blocked_since: None,
+                awaiting_first_command_since: Some(now),
+                request_count: 0,
                 eof: false,
                 closing: false,
-                lingering: None,
-                dropped: 0,
-                held_up: false,
+                lingering_since: None,
+                dropped_bytes: 0,
+                read_suspended: false,
                 pending: Vec::new(),
             });
         }
         Ok(())
     }
 
-    /// Closes a connection between requests to make room: one that never asked, or the one that was idle
-    /// longest. Danger: a crowd that connects and says nothing would drive out those that do ask.
+    /// Closes an idle connection to make room: one that never sent a request, or else the one idle for longest. The
+    /// order keeps many connections that send nothing from evicting clients with requests.
     fn evict(&mut self) {
-        let idle = self.all.iter().filter(|(_, c)| c.idle());
-        let mut idle: Vec<(bool, Nanos, usize)> = idle.map(|(key, c)| (c.asked > 0, c.moved, key)).collect();
+        let idle = self.clients.iter().filter(|(_, c)| c.is_idle());
+        let mut idle: Vec<(bool, Nanos, usize)> =
+            idle.map(|(key, c)| (c.request_count > 0, c.active_at, key)).collect();
         idle.sort_unstable();
-        // One with a command on its way is passed over, if it can be: closing would cross it.
-        let quiet = idle.iter().find(|(_, _, key)| self.all.get(*key).is_some_and(Client::quiet));
-        if let Some((_, _, key)) = quiet.or(idle.first()) {
+        // Connections with unread input are skipped if possible: closing them would lose a command.
+        let closable =
+            idle.iter().find(|(_, _, key)| self.clients.get(*key).is_some_and(Client::is_closable));
+        if let Some((_, _, key)) = closable.or(idle.first()) {
             self.remove(*key);
         }
     }
 
-    /// Connections to read on with.
+    /// Takes the list of connections that may have unread input.
     pub fn take_pending_reads(&mut self) -> Vec<usize> {
-        std::mem::take(&mut self.again)
+        std::mem::take(&mut self.pending_reads)
     }
 
-    /// Reads what a connection has, up to a bound.
+    /// Reads the input of a connection, up to [`MAX_READS`] times. `closed` tells that the end of the stream may follow.
     pub fn read(&mut self, key: usize, closed: bool, config: &Config, buffer: &mut [u8], now: Nanos) {
-        for _ in 0..READS {
-            let Some(client) = self.all.get_mut(key).filter(|c| !c.eof) else { return };
-            // Guards against clients that ask faster than they read; the sockets between hold the rest.
-            client.held_up = client.backlog() > HIGH;
-            // Danger: to read to its end what a client still sends after its error takes the time of others.
-            if client.held_up || client.parser.waits_for_memory() || client.dropped > LINGER_BYTES {
+        for _ in 0..MAX_READS {
+            let Some(client) = self.clients.get_mut(key).filter(|c| !c.eof) else { return };
+            // A client that sends faster than it reads is slowed down by the socket buffers.
+            client.read_suspended = client.unread_bytes() > MAX_UNREAD_BYTES;
+            // What a client sends after a protocol error is read up to a limit, so that it does not take time from others.
+            if client.read_suspended
+                || client.parser.waits_for_memory()
+                || client.dropped_bytes > MAX_LINGER_BYTES
+            {
                 return;
             }
             match client.stream.read(buffer) {
                 Ok(0) => {
                     client.eof = true;
-                    self.left(key);
+                    self.half_closed(key);
                     return;
                 }
                 Ok(n) => {
-                    client.moved = now;
-                    if client.lingering.is_none() && !client.closing {
-                        self.input(key, &buffer[..n], config, now);
+                    client.active_at = now;
+                    if client.lingering_since.is_none() && !client.closing {
+                        self.parse_input(key, &buffer[..n], config, now);
                     } else {
-                        client.dropped += n;
+                        client.dropped_bytes += n;
                     }
-                    // A short read emptied the socket; only an end of the stream may stand behind it.
+                    // A short read has emptied the socket, except for a possible end of the stream.
                     if n < buffer.len() && !closed {
                         return;
                     }
@@ -368,220 +395,229 @@
                 }
             }
         }
-        self.again.push(key);
+        self.pending_reads.push(key);
     }
 
-    fn left(&mut self, key: usize) {
-        let Some(client) = self.all.get(key) else { return };
-        if client.slots.is_empty() && client.backlog() == 0 {
+    /// Handles the end of a client's input.
+    fn half_closed(&mut self, key: usize) {
+        let Some(client) = self.clients.get(key) else { return };
+        if client.slots.is_empty() && client.unread_bytes() == 0 {
             self.remove(key);
             return;
         }
         for slot in &client.slots {
             if let Slot::Waiting(id, _) = slot {
-                self.news.push_back(ClientEvent::HalfClosed(*id));
+                self.events.push_back(ClientEvent::HalfClosed(*id));
             }
         }
     }
 
-    fn input(&mut self, key: usize, mut input: &[u8], config: &Config, now: Nanos) {
+    /// Parses input and handles each complete command.
+    fn parse_input(&mut self, key: usize, mut input: &[u8], config: &Config, now: Nanos) {
         while !input.is_empty() {
-            // What stands behind a command that ends the connection is not looked at.
-            let Some(client) = self.all.get_mut(key).filter(|c| !c.closing) else { return };
+            // Input after a command that closes the connection is ignored.
+            let Some(client) = self.clients.get_mut(key).filter(|c| !c.closing) else { return };
             match client.parser.feed(input) {
                 Ok((used, command)) => {
                     input = &input[used..];
-                    client.midway_since = match command {
-                        None if client.parser.in_progress() => client.midway_since.or(Some(now)),
+                    client.partial_since = match command {
+                        None if client.parser.in_progress() => client.partial_since.or(Some(now)),
                         _ => None,
                     };
                     if client.parser.waits_for_memory() {
                         client.pending.extend_from_slice(input);
-                        self.waiting.push_back(key);
+                        self.waiting_for_memory.push_back(key);
                         return;
                     }
                     if let Some(command) = command {
-                        self.command(key, command, config);
+                        self.handle_command(key, command, config);
                     }
                 }
                 Err(e) => {
                     let error = format!("-ERR Protocol error: {}\r\n", e.0);
                     client.closing = true;
-                    self.reply_next(key, error.as_bytes());
+                    self.answer_last(key, error.as_bytes());
                     return;
                 }
             }
         }
     }
 
-    /// Reads on where commands waited for room and there is some, the first to wait first.
+    /// Resumes connections whose commands waited for memory, in the order in which they began to wait, as far as there is
+    /// memory.
     pub fn resume_waiting(&mut self, config: &Config, now: Nanos) {
-        while let Some(key) = self.waiting.front().copied() {
-            // Another connection may have come to this place.
-            if let Some(client) = self.all.get_mut(key).filter(|c| c.parser.waits_for_memory()) {
+        while let Some(key) = self.waiting_for_memory.front().copied() {
+            // The key may belong to another connection by now.
+            if let Some(client) = self.clients.get_mut(key).filter(|c| c.parser.waits_for_memory()) {
                 if !client.parser.retry_reservation() {
                     return;
                 }
-                client.moved = now;
+                client.active_at = now;
                 let pending = std::mem::take(&mut client.pending);
-                self.input(key, &pending, config, now);
-                self.again.push(key);
+                self.parse_input(key, &pending, config, now);
+                self.pending_reads.push(key);
             }
-            self.waiting.pop_front();
+            self.waiting_for_memory.pop_front();
         }
     }
 
-    fn command(&mut self, key: usize, command: Command, config: &Config) {
-        let Some(client) = self.all.get_mut(key) else { return };
+    fn handle_command(&mut self, key: usize, command: Command, config: &Config) {
+        let Some(client) = self.clients.get_mut(key) else { return };
         if let CommandOutcome::Answer(answer) = client.session.handle(&command, &self.users) {
             if answer.accepted {
-                client.newcomer = None;
+                client.awaiting_first_command_since = None;
             }
             client.closing |= answer.close;
             self.wrong_passwords += u64::from(answer.wrong_password);
-            self.reply_next(key, &answer.bytes);
+            self.answer_last(key, &answer.bytes);
             return;
         }
-        let whole = command.is_complete();
+        let is_complete = command.is_complete();
         let query = Query::parse(command, config).map_err(Cow::from).and_then(|query| {
             client.session.check_tenant(query.tenant, &self.users).map_err(Cow::from).map(|()| query)
         });
         match query {
-            // Untouched, it may always be refused.
-            Ok(query) if !whole || client.slots.len() >= self.depth => {
-                self.news.push_back(ClientEvent::Rejected(query.class));
-                self.reply_next(key, BUSY);
+            // Nothing has been done for the command yet, so refusing it is safe.
+            Ok(query) if !is_complete || client.slots.len() >= self.max_open_commands => {
+                self.events.push_back(ClientEvent::Rejected(query.class));
+                self.answer_last(key, BUSY_REPLY);
             }
             Ok(query) => {
-                let place = ReplySlot { client: key, number: client.first + client.slots.len() as u64 };
+                let reply_slot =
+                    ReplySlot { client: key, number: client.first_slot + client.slots.len() as u64 };
                 let id = self.next_id;
                 self.next_id += 1;
                 client.slots.push_back(Slot::Waiting(id, client.session.protocol()));
-                (client.newcomer, client.asked) = (None, (client.asked + 1).min(2));
-                self.news.push_back(ClientEvent::Query(id, place, Rc::new(query)));
+                (client.awaiting_first_command_since, client.request_count) =
+                    (None, (client.request_count + 1).min(2));
+                self.events.push_back(ClientEvent::Query(id, reply_slot, Rc::new(query)));
             }
-            Err(answer) => self.reply_next(key, answer.as_bytes()),
+            Err(answer) => self.answer_last(key, answer.as_bytes()),
         }
     }
 
-    /// Answers the command that was read last, at once.
-    fn reply_next(&mut self, key: usize, answer: &[u8]) {
-        let Some(client) = self.all.get_mut(key) else { return };
-        if client.slots.len() >= SLOTS * self.depth {
+    /// Answers the last parsed command without making it a request.
+    fn answer_last(&mut self, key: usize, answer: &[u8]) {
+        let Some(client) = self.clients.get_mut(key) else { return };
+        if client.slots.len() >= SLOTS_PER_OPEN_COMMAND * self.max_open_commands {
             self.remove(key);
             return;
         }
         client.slots.push_back(Slot::Ready(answer.to_vec()));
-        client.held += answer.len();
-        self.backlog += answer.len();
+        client.queued_bytes += answer.len();
+        self.unread_bytes += answer.len();
         self.advance(key);
     }
 
-    /// Gives a request's whole answer.
-    pub fn answer(&mut self, place: ReplySlot, answer: &Answer<'_>) {
-        let Some(client) = self.all.get_mut(place.client) else { return };
-        let Some(at) = place.number.checked_sub(client.first).map(|at| at as usize) else { return };
-        let Some(Slot::Waiting(_, protocol)) = client.slots.get(at) else { return };
-        let before = client.out.len();
-        if at == 0 {
-            answer.write(*protocol, &mut client.out);
-            self.backlog += client.out.len() - before;
+    /// Gives the complete answer to a request.
+    pub fn answer(&mut self, slot: ReplySlot, answer: &Answer<'_>) {
+        let Some(client) = self.clients.get_mut(slot.client) else { return };
+        let Some(position) = slot.number.checked_sub(client.first_slot).map(|n| n as usize) else { return };
+        let Some(Slot::Waiting(_, protocol)) = client.slots.get(position) else { return };
+        let before = client.output.len();
+        if position == 0 {
+            answer.write(*protocol, &mut client.output);
+            self.unread_bytes += client.output.len() - before;
             client.slots.pop_front();
-            client.first += 1;
+            client.first_slot += 1;
         } else {
             let mut bytes = Vec::new();
             answer.write(*protocol, &mut bytes);
-            client.held += bytes.len();
-            self.backlog += bytes.len();
-            client.slots[at] = Slot::Ready(bytes);
+            client.queued_bytes += bytes.len();
+            self.unread_bytes += bytes.len();
+            client.slots[position] = Slot::Ready(bytes);
         }
-        self.advance(place.client);
+        self.advance(slot.client);
     }
 
-    /// How many bytes of a long value one client may have unread: a part of the room that is left, so that a few
-    /// slow clients have much and many have little each.
-    fn share(&self) -> usize {
-        (self.max_backlog.saturating_sub(self.backlog) / SHARE).clamp(MAX_BUFFERED_VALUE_BYTES, LARGEST)
+    /// How many bytes of a long value one client may have unread: a fraction of the free space, so that a few slow
+    /// clients get much each and many get little.
+    fn unread_share(&self) -> usize {
+        (self.max_unread_bytes.saturating_sub(self.unread_bytes) / UNREAD_SHARE_DIVISOR)
+            .clamp(MAX_BUFFERED_VALUE_BYTES, MAX_UNREAD_SHARE_BYTES)
     }
 
-    /// The slot at a place, and where that is in the order of answers.
-    fn slot(&mut self, place: ReplySlot) -> Option<(&mut Client, usize)> {
-        let client = self.all.get_mut(place.client)?;
-        let at = place.number.checked_sub(client.first)? as usize;
-        (at < client.slots.len()).then_some((client, at))
+    /// The client of a slot, and the position of the slot among those that are not answered completely.
+    fn find_slot(&mut self, slot: ReplySlot) -> Option<(&mut Client, usize)> {
+        let client = self.clients.get_mut(slot.client)?;
+        let position = slot.number.checked_sub(client.first_slot)? as usize;
+        (position < client.slots.len()).then_some((client, position))
     }
 
-    /// Begins a request's answer, a long value.
-    pub fn begin_value(&mut self, place: ReplySlot, shape: BodyFormat, length: usize) {
-        let Some((client, at)) = self.slot(place) else { return };
-        let Slot::Waiting(id, protocol) = client.slots[at] else { return };
+    /// Starts to stream a long value as the answer to a request.
+    pub fn begin_value(&mut self, slot: ReplySlot, format: BodyFormat, length: usize) {
+        let Some((client, position)) = self.find_slot(slot) else { return };
+        let Slot::Waiting(id, protocol) = client.slots[position] else { return };
         let mut head = Vec::new();
-        Reply::write_head(shape, length, protocol, &mut head);
-        client.slots[at] = Slot::Passing(id, protocol, Vec::new(), false);
-        self.append_value(place, &head);
-    }
-
-    /// Goes on with it. False if no more of it is wanted for now: [`ClientEvent::ReadyForMore`] says when there is.
-    pub fn append_value(&mut self, place: ReplySlot, bytes: &[u8]) -> bool {
-        let share = self.share();
-        let Some((client, at)) = self.slot(place) else { return true };
-        let (unread, held) = (client.backlog() + bytes.len(), client.held);
-        let Slot::Passing(_, _, kept, full) = &mut client.slots[at] else { return true };
-        let room = unread <= share;
-        *full = !room;
-        if at == 0 {
-            client.out.extend_from_slice(bytes);
+        Reply::write_head(format, length, protocol, &mut head);
+        client.slots[position] = Slot::Streaming { id, protocol, queued: Vec::new(), paused: false };
+        self.append_value(slot, &head);
+    }
+
+    /// Appends bytes to a streamed value. Returns false if the sender has to pause until [`ClientEvent::ReadyForMore`].
+    pub fn append_value(&mut self, slot: ReplySlot, bytes: &[u8]) -> bool {
+        let share = self.unread_share();
+        let Some((client, position)) = self.find_slot(slot) else { return true };
+        let (unread, queued_bytes) = (client.unread_bytes() + bytes.len(), client.queued_bytes);
+        let Slot::Streaming { queued, paused, .. } = &mut client.slots[position] else { return true };
+        let has_room = unread <= share;
+        *paused = !has_room;
+        if position == 0 {
+            client.output.extend_from_slice(bytes);
         } else {
-            kept.extend_from_slice(bytes);
-            client.held = held + bytes.len();
+            queued.extend_from_slice(bytes);
+            client.queued_bytes = queued_bytes + bytes.len();
         }
-        self.backlog += bytes.len();
-        self.advance(place.client);
-        room
-    }
-
-    /// Ends it.
-    pub fn finish_value(&mut self, place: ReplySlot, reply: &Reply) {
-        let Some((client, at)) = self.slot(place) else { return };
-        let Slot::Passing(_, protocol, kept, _) = &mut client.slots[at] else { return };
-        let before = kept.len();
-        reply.write_tail(*protocol, kept);
-        let (tail, kept) = (kept.len() - before, std::mem::take(kept));
-        client.held += tail;
-        client.slots[at] = Slot::Ready(kept);
-        self.backlog += tail;
-        self.advance(place.client);
-    }
-
-    /// It can't be ended: closing is how the client can tell.
-    pub fn abort_value(&mut self, place: ReplySlot) {
-        if let Some((client, at)) = self.slot(place) {
-            client.slots.remove(at);
-            self.remove(place.client);
+        self.unread_bytes += bytes.len();
+        self.advance(slot.client);
+        has_room
+    }
+
+    /// Completes a streamed value.
+    pub fn finish_value(&mut self, slot: ReplySlot, reply: &Reply) {
+        let Some((client, position)) = self.find_slot(slot) else { return };
+        let Slot::Streaming { protocol, queued, .. } = &mut client.slots[position] else { return };
+        let length_before = queued.len();
+        reply.write_tail(*protocol, queued);
+        let (tail_length, queued) = (queued.len() - length_before, std::mem::take(queued));
+        client.queued_bytes += tail_length;
+        client.slots[position] = Slot::Ready(queued);
+        self.unread_bytes += tail_length;
+        self.advance(slot.client);
+    }
+
+    /// Closes the connection of a value that can't be completed, which is how the client recognises the failure.
+    pub fn abort_value(&mut self, slot: ReplySlot) {
+        if let Some((client, position)) = self.find_slot(slot) {
+            client.slots.remove(position);
+            self.remove(slot.client);
         }
     }
 
-    /// Moves what can go out in order to the output.
+    /// Moves the answers that are next in order to the output.
     fn advance(&mut self, key: usize) {
-        let Some(client) = self.all.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else { return };
         loop {
             match client.slots.front_mut() {
                 Some(Slot::Ready(answer)) => {
-                    client.held -= answer.len();
-                    client.out.append(answer);
+                    client.queued_bytes -= answer.len();
+                    client.output.append(answer);
                     client.slots.pop_front();
-                    client.first += 1;
+                    client.first_slot += 1;
                 }
-                Some(Slot::Passing(_, _, kept, _)) => {
-                    client.held -= kept.len();
-                    client.out.append(kept);
+                Some(Slot::Streaming { queued, .. }) => {
+                    client.queued_bytes -= queued.len();
+                    client.output.append(queued);
                     break;
                 }
                 Some(Slot::Waiting(..)) | None => break,
             }
         }
-        // Danger: clients that ask and do not read would fill the memory with answers.
-        if self.backlog > self.max_backlog && client.backlog() > HIGH && !client.passing() {
+        // Clients that send commands but do not read would otherwise fill the memory with answers.
+        if self.unread_bytes > self.max_unread_bytes
+            && client.unread_bytes() > MAX_UNREAD_BYTES
+            && !client.is_streaming()
+        {
             self.remove(key);
         } else if !client.dirty {
             client.dirty = true;
@@ -589,27 +625,27 @@
         }
     }
 
-    /// Writes what answers there are, each connection once.
+    /// Writes the answers of all connections with output.
     pub fn flush_all(&mut self, now: Nanos) {
         while let Some(key) = self.dirty.pop() {
             self.flush(key, now);
         }
     }
 
-    /// Writes what a connection will take.
+    /// Writes as many answers as the socket of a connection accepts.
     pub fn flush(&mut self, key: usize, now: Nanos) {
-        let share = self.share();
-        let Some(client) = self.all.get_mut(key) else { return };
+        let share = self.unread_share();
+        let Some(client) = self.clients.get_mut(key) else { return };
         client.dirty = false;
-        while client.written < client.out.len() {
-            match client.stream.write(&client.out[client.written..]) {
+        while client.written < client.output.len() {
+            match client.stream.write(&client.output[client.written..]) {
                 Ok(n) => {
                     client.written += n;
-                    self.backlog = self.backlog.saturating_sub(n);
-                    (client.moved, client.stuck) = (now, None);
+                    self.unread_bytes = self.unread_bytes.saturating_sub(n);
+                    (client.active_at, client.blocked_since) = (now, None);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    client.stuck.get_or_insert(now);
+                    client.blocked_since.get_or_insert(now);
                     break;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -619,24 +655,26 @@
                 }
             }
         }
-        if client.written == client.out.len() {
-            client.out.clear();
-            client.out.shrink_to(KEPT);
+        if client.written == client.output.len() {
+            client.output.clear();
+            client.output.shrink_to(IDLE_BUFFER_BYTES);
             client.written = 0;
-        } else if client.written > HIGH {
-            client.out.drain(..client.written);
+        } else if client.written > MAX_UNREAD_BYTES {
+            client.output.drain(..client.written);
             client.written = 0;
         }
-        let little = client.backlog() <= share / 2;
-        if let Some(Slot::Passing(id, _, _, full @ true)) = client.slots.front_mut().filter(|_| little) {
-            *full = false;
-            self.news.push_back(ClientEvent::ReadyForMore(*id));
+        let may_resume = client.unread_bytes() <= share / 2;
+        if let Some(Slot::Streaming { id, paused: paused @ true, .. }) =
+            client.slots.front_mut().filter(|_| may_resume)
+        {
+            *paused = false;
+            self.events.push_back(ClientEvent::ReadyForMore(*id));
         }
-        if client.held_up && client.backlog() <= HIGH {
-            client.held_up = false;
-            self.again.push(key);
+        if client.read_suspended && client.unread_bytes() <= MAX_UNREAD_BYTES {
+            client.read_suspended = false;
+            self.pending_reads.push(key);
         }
-        if client.slots.is_empty() && client.backlog() == 0 {
+        if client.slots.is_empty() && client.unread_bytes() == 0 {
             if client.eof {
                 self.remove(key);
             } else if client.closing || (self.stopping && !client.parser.in_progress()) {
@@ -645,80 +683,90 @@
         }
     }
 
-    /// Closes our side, between requests, and waits a moment for the client to close its own.
+    /// Closes our sending side between requests, and waits up to [`LINGER_TIMEOUT`] for the client to close its own.
     fn linger(&mut self, key: usize, now: Nanos) {
-        let Some(client) = self.all.get_mut(key).filter(|c| c.lingering.is_none()) else { return };
-        client.lingering = Some(now);
+        let Some(client) = self.clients.get_mut(key).filter(|c| c.lingering_since.is_none()) else { return };
+        client.lingering_since = Some(now);
         if client.stream.shutdown(Shutdown::Write).is_err() {
             self.remove(key);
         }
     }
 
-    /// Ends a connection; what it had open can't be answered any more.
+    /// Closes a connection; its open requests can no longer be answered.
     fn remove(&mut self, key: usize) {
-        let Some(client) = self.all.try_remove(key) else { return };
-        self.backlog = self.backlog.saturating_sub(client.backlog());
+        let Some(client) = self.clients.try_remove(key) else { return };
+        self.unread_bytes = self.unread_bytes.saturating_sub(client.unread_bytes());
         for slot in client.slots {
             match slot {
-                Slot::Waiting(id, _) | Slot::Passing(id, ..) => {
-                    self.news.push_back(ClientEvent::Disconnected(id))
+                Slot::Waiting(id, _) | Slot::Streaming { id, .. } => {
+                    self.events.push_back(ClientEvent::Disconnected(id))
                 }
                 Slot::Ready(_) => {}
             }
         }
     }
 
-    /// Ends what has waited too long.
+    /// Disconnects clients that have exceeded a time limit.
     pub fn sweep(&mut self, now: Nanos) {
-        let since = |at: Nanos, most: Nanos| now.saturating_sub(at) > most;
-        let slow_since = |c: &Client, at: Nanos| match c.parser.in_value() {
-            // What waits for room waits for us.
-            true => !c.parser.waits_for_memory() && (since(c.moved, ASKING) || since(at, WRITING)),
-            false => since(at, ASKING),
+        let exceeded = |since: Nanos, timeout: Nanos| now.saturating_sub(since) > timeout;
+        let is_slow = |c: &Client, since: Nanos| match c.parser.in_value() {
+            // A command that waits for memory waits for this proxy, not for its client.
+            true => {
+                !c.parser.waits_for_memory()
+                    && (exceeded(c.active_at, COMMAND_TIMEOUT) || exceeded(since, VALUE_TIMEOUT))
+            }
+            false => exceeded(since, COMMAND_TIMEOUT),
         };
-        let (mut gone, mut slow) = (Vec::new(), Vec::new());
-        let crowded = self.all.iter().filter(|(_, c)| c.asked > 0 && c.idle()).count() > self.limit / 4;
-        let idle = |c: &Client| match c.asked {
-            1 if crowded => IDLE_CROWDED[0],
-            2.. if crowded => IDLE_CROWDED[1],
-            _ => IDLE,
+        let (mut expired, mut slow) = (Vec::new(), Vec::new());
+        let idle_count = self.clients.iter().filter(|(_, c)| c.request_count > 0 && c.is_idle()).count();
+        let is_crowded = idle_count > self.max_clients / 4;
+        let idle_timeout = |c: &Client| match c.request_count {
+            1 if is_crowded => CROWDED_IDLE_TIMEOUTS[0],
+            2.. if is_crowded => CROWDED_IDLE_TIMEOUTS[1],
+            _ => IDLE_TIMEOUT,
         };
-        for (key, c) in &self.all {
-            // Danger: an answer to a request that waited for longer may not have been offered to its client yet.
-            let unread = c.stuck.is_some_and(|at| since(at, STALLED));
-            let silent = c.newcomer.is_some_and(|at| since(at, ASKING)) || since(c.moved, idle(c));
-            if unread || c.lingering.is_some_and(|at| since(at, LINGER)) || (silent && c.quiet()) {
-                gone.push(key);
-            } else if !c.closing && c.midway_since.is_some_and(|at| slow_since(c, at)) {
+        for (key, c) in &self.clients {
+            // Counted from the first write that the socket did not accept: an answer that took longer than this may not
+            // have been offered to its client yet.
+            let is_stalled = c.blocked_since.is_some_and(|since| exceeded(since, STALL_TIMEOUT));
+            let is_silent =
+                c.awaiting_first_command_since.is_some_and(|since| exceeded(since, COMMAND_TIMEOUT))
+                    || exceeded(c.active_at, idle_timeout(c));
+            if is_stalled
+                || c.lingering_since.is_some_and(|since| exceeded(since, LINGER_TIMEOUT))
+                || (is_silent && c.is_closable())
+            {
+                expired.push(key);
+            } else if !c.closing && c.partial_since.is_some_and(|since| is_slow(c, since)) {
                 slow.push(key);
             }
         }
-        gone.into_iter().for_each(|key| self.remove(key));
+        expired.into_iter().for_each(|key| self.remove(key));
         for key in slow {
-            if let Some(client) = self.all.get_mut(key) {
+            if let Some(client) = self.clients.get_mut(key) {
                 client.closing = true;
             }
-            self.reply_next(key, b"-ERR Protocol error: the command took too long\r\n");
+            self.answer_last(key, b"-ERR Protocol error: the command took too long\r\n");
         }
     }
 
-    /// Ends the service to clients: nothing more is accepted, and each connection is closed between requests.
+    /// Stops serving clients: closes the listener, and each connection once it has no open request.
     pub fn stop(&mut self, config: &Config, buffer: &mut [u8], now: Nanos) {
         self.listener = None;
         self.stopping = true;
-        let keys: Vec<usize> = self.all.iter().map(|(key, _)| key).collect();
+        let keys: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
-            // What has come already is still taken.
+            // Input that has already arrived is still handled.
             self.read(key, true, config, buffer, now);
-            if self.all.get(key).is_some_and(Client::idle) {
+            if self.clients.get(key).is_some_and(Client::is_idle) {
                 self.linger(key, now);
             }
         }
     }
 
-    /// True once no client is left.
+    /// True if no client is connected.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.clients.is_empty()
     }
 }
 
@@ -729,43 +777,43 @@
     use std::time::{Duration, Instant};
 
     #[test]
-    fn a_client_that_waited_long_for_its_answer_is_not_taken_for_one_that_does_not_read() {
+    fn a_client_whose_answer_took_long_is_not_disconnected_as_one_that_does_not_read() {
         let config = sample();
-        let at: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let users = crate::front::users(&operator::Clients::default(), &[]).expect("users");
-        let mut clients = Clients::new(at, None, 8, 1 << 20, users, 8);
+        let mut clients = Clients::new(address, None, 8, 1 << 20, users, 8);
         let poll = mio::Poll::new().expect("a poll");
         clients.listen(poll.registry(), Token(0)).expect("listens");
-        let there = clients.listener.as_ref().and_then(|l| l.local_addr().ok()).expect("listening");
-        let mut client = std::net::TcpStream::connect(there).expect("connected");
+        let address = clients.listener.as_ref().and_then(|l| l.local_addr().ok()).expect("listening");
+        let mut client = std::net::TcpStream::connect(address).expect("connected");
         client.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
         client
             .write_all(b"*4\r\n$9\r\nCACHE.GET\r\n$1\r\n1\r\n$1\r\na\r\n$12\r\nc=read,d=900\r\n")
             .expect("written");
-        let (begun, mut buffer) = (Instant::now(), [0; 256]);
-        let place = loop {
-            assert!(begun.elapsed() < Duration::from_secs(20), "nothing came");
+        let (started, mut buffer) = (Instant::now(), [0; 256]);
+        let slot = loop {
+            assert!(started.elapsed() < Duration::from_secs(20), "no request arrived within 20 s");
             clients.listener_ready();
             clients.accept(poll.registry(), 0, Token, |_| 8).expect("accepted");
-            clients.all.iter().map(|(key, _)| key).collect::<Vec<_>>().into_iter().for_each(|key| {
+            clients.clients.iter().map(|(key, _)| key).collect::<Vec<_>>().into_iter().for_each(|key| {
                 clients.read(key, false, &config, &mut buffer, 0);
             });
-            if let Some(ClientEvent::Query(_, place, _)) = clients.next_event() {
-                break place;
+            if let Some(ClientEvent::Query(_, slot, _)) = clients.next_event() {
+                break slot;
             }
         };
-        // Its time was six seconds; the answer and the sweep fall in one step of the loop.
-        clients.answer(place, &Answer::Busy(0));
+        // The answer took six seconds, and the sweep runs in the same iteration of the event loop.
+        clients.answer(slot, &Answer::Busy(0));
         clients.sweep(6_000 * MS);
         clients.flush_all(6_000 * MS);
         let mut answer = [0; 7];
         client.read_exact(&mut answer).expect("the answer");
-        assert_eq!(&answer, BUSY);
-        // One that takes nothing of what is offered is let go all the same.
-        let key = place.client;
-        clients.all[key].stuck = Some(6_000 * MS);
+        assert_eq!(&answer, BUSY_REPLY);
+        // A client that reads nothing of what was offered is still disconnected.
+        let key = slot.client;
+        clients.clients[key].blocked_since = Some(6_000 * MS);
         clients.sweep(10_900 * MS);
-        assert_eq!(clients.all.len(), 1);
+        assert_eq!(clients.clients.len(), 1);
         clients.sweep(11_100 * MS);
         assert!(clients.is_empty());
     }
--- a/crates/proxy/src/front/control.rs
+++ b/crates/proxy/src/front/control.rs
@@ -1,8 +1,8 @@
-//! The control endpoint: a Unix-domain socket over which controllers see and steer this proxy.
+//! The control endpoint: a Unix domain socket through which controllers observe and control this proxy.
 //!
-//! Guards against controllers that are slow, silent, rude or many: connections, frames, unread answers and time
-//! are bounded, and the work for them gets a tenth of the loop's time at the most. It should also catch a tool
-//! that asks in a tight loop. Danger: under such a one the endpoint answers slowly; the service does not.
+//! Controllers may be slow, silent, many, or send invalid input. So the number of connections, the size of frames and
+//! unread replies, and all waits are limited, and the endpoint gets at most a tenth of the event loop's time. With a
+//! controller that sends requests in a tight loop the endpoint responds slowly, but the service to clients does not.
 
 use calicosaddle::api::Nanos;
 use control::message::{line, Body, Code, Error, Status};
@@ -18,49 +18,53 @@
 use std::path::{Path, PathBuf};
 
 const MS: Nanos = 1_000_000;
-/// A frame has to be whole after so long, and answers to be read.
-const PATIENCE: Nanos = 2_000 * MS;
-/// A controller that asks nothing and watches nothing is let go after this.
-const IDLE: Nanos = 60_000 * MS;
-/// With more unread answers no further request of a connection is taken; a watcher that reads so little is let go.
-const HIGH: usize = MAX_REPLY;
-/// Requests of a connection that wait for their turn.
-const WAITING: usize = 16;
-/// The work of a turn is followed by so many times its length without any.
-const REST: Nanos = 9;
-/// Connections accepted, and requests taken, in a turn.
-const TURN: usize = 8;
-
-/// Why the endpoint can't be had.
+/// How long a frame may be incomplete, and replies unread.
+const IO_TIMEOUT: Nanos = 2_000 * MS;
+/// How long a controller without a watch may send no requests before it is disconnected.
+const IDLE_TIMEOUT: Nanos = 60_000 * MS;
+/// With more unread bytes of replies than this no further requests of a connection are accepted, and a watcher is
+/// disconnected.
+const MAX_UNREAD_BYTES: usize = MAX_REPLY;
+/// The maximum number of queued requests of a connection before no more are read.
+const MAX_QUEUED_REQUESTS: usize = 16;
+/// After its work the endpoint pauses for this many times as long, so that it gets a tenth of the time.
+const PAUSE_FACTOR: Nanos = 9;
+/// The maximum number of connections accepted, and of requests executed, in an iteration of the event loop.
+const MAX_PER_ITERATION: usize = 8;
+
+/// Why the endpoint can't be opened.
 #[derive(Debug)]
 pub enum StartError {
-    /// The path, and what is wrong.
+    /// The path of the socket, and the reason.
     Socket(PathBuf, String),
-    /// The state file, and what is wrong.
+    /// The path of the state file, and the reason.
     State(PathBuf, String),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StartError::Socket(path, what) => write!(f, "control.socket {}: {what}", path.display()),
-            StartError::State(path, what) => write!(f, "control.state_file {}: {what}", path.display()),
+            StartError::Socket(path, reason) => write!(f, "control.socket {}: {reason}", path.display()),
+            StartError::State(path, reason) => write!(f, "control.state_file {}: {reason}", path.display()),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// What must outlive the process, and where it is kept.
+/// The state that survives a restart of the process, and the file in which it is stored.
 #[derive(Debug, Default)]
 pub struct PersistentState {
     path: Option<PathBuf>,
-    /// As it is in force.
+    /// The state in force.
     pub state: State,
 }
 
 impl PersistentState {
-    /// Reads the state of the process before, if there is one.
+    /// Loads the state that the previous process stored, if there is any.
+    ///
+    /// # Errors
+    /// The file exists and can't be read or decoded.
     pub fn load(path: Option<PathBuf>) -> Result<PersistentState, StartError> {
         let Some(path) = path else { return Ok(PersistentState::default()) };
         let text = match fs::read_to_string(&path) {
@@ -70,23 +74,26 @@
             }
             Err(e) => return Err(StartError::State(path, format!("can't be read: {e}"))),
         };
-        // Danger: to go on without it would send work to a box that an operator drained.
+        // Starting without the state could send work to a box that an operator has drained.
         match State::decode(&text) {
             Ok(state) => Ok(PersistentState { path: Some(path), state }),
-            Err(what) => {
+            Err(reason) => {
                 let advice = "mend it, or remove it to start with nothing drained";
-                Err(StartError::State(path, format!("{what}; {advice}")))
+                Err(StartError::State(path, format!("{reason}; {advice}")))
             }
         }
     }
 
-    /// Puts a state in force once it is written. A process that dies at any point leaves the old file or the
-    /// new one; it is not synced, so a machine that dies may lose it.
+    /// Stores a state and, if that succeeds, puts it in force. A process that dies at any point leaves either the old
+    /// file or the new one. The file is not synced, so a crash of the machine may lose the change.
+    ///
+    /// # Errors
+    /// The file can't be written; nothing has changed.
     pub fn store(&mut self, state: State) -> Result<(), Error> {
         if let Some(path) = &self.path {
-            let new = path.with_extension("new");
-            let wrote = fs::write(&new, state.encode()).and_then(|()| fs::rename(&new, path));
-            wrote.map_err(|e| {
+            let temporary = path.with_extension("new");
+            let written = fs::write(&temporary, state.encode()).and_then(|()| fs::rename(&temporary, path));
+            written.map_err(|e| {
                 Error::new(Code::Storage, format!("{}: {e}; nothing changed", path.display()))
             })?;
         }
@@ -95,108 +102,117 @@
     }
 }
 
-/// A request, or what is wrong with it and the id that it bears.
+/// A request, or the error in it together with its id.
 pub type ParsedRequest = Result<Request, (String, Error)>;
 
 #[derive(Debug)]
 struct Watch {
     id: String,
-    every: Option<Nanos>,
-    told: Nanos,
-    change: u64,
+    /// How often an event is sent even without changes.
+    interval: Option<Nanos>,
+    /// When the last event was sent.
+    notified_at: Nanos,
+    /// The change that the last event included.
+    last_change: u64,
 }
 
 #[derive(Debug)]
 struct Peer {
     stream: UnixStream,
     decoder: Decoder,
-    /// Whole requests that wait for their turn.
-    waiting: VecDeque<Vec<u8>>,
-    out: Vec<u8>,
+    /// Complete frames that have not been executed.
+    queue: VecDeque<Vec<u8>>,
+    output: Vec<u8>,
     written: usize,
-    /// It may have input that has not been read.
+    /// It may have unread input.
     readable: bool,
-    /// When it last completed a request, or connected; and whether it ever did.
-    asked: Nanos,
-    spoke: bool,
-    /// Since when a frame is half said, and since when answers wait to be read.
-    midway: Option<Nanos>,
-    unread: Option<Nanos>,
+    /// When its last request was taken from the queue, or else when it connected.
+    last_request_at: Nanos,
+    has_sent_request: bool,
+    /// Since when a frame has been incomplete.
+    partial_since: Option<Nanos>,
+    /// Since when the socket has accepted no more of the output.
+    blocked_since: Option<Nanos>,
     watch: Option<Watch>,
-    /// It is let go once all is written.
+    /// It is disconnected once all output is written.
     closing: bool,
 }
 
 impl Peer {
-    /// It has to read before anything more is done for it.
-    fn stuck(&self) -> bool {
-        self.closing || self.out.len() - self.written > HIGH
+    /// True if it has to read its replies before anything more is done for it, or is being disconnected.
+    fn is_blocked(&self) -> bool {
+        self.closing || self.output.len() - self.written > MAX_UNREAD_BYTES
     }
 }
 
-/// The endpoint.
+/// The control endpoint.
 #[derive(Debug)]
 pub struct ControlEndpoint {
     listener: UnixListener,
     path: PathBuf,
-    uids: Vec<u32>,
-    most: usize,
+    /// The user ids of the processes that may connect.
+    allowed_uids: Vec<u32>,
+    max_connections: usize,
     peers: Slab<Peer>,
     accepting: bool,
-    rest_until: Nanos,
+    paused_until: Nanos,
 }
 
+/// Opens a listening socket at a path that only its owner may use. Replaces a socket left by a process that was killed.
 fn bind(path: &Path) -> Result<UnixListener, StartError> {
-    let fault = |what: String| StartError::Socket(path.to_owned(), what);
+    let error = |reason: String| StartError::Socket(path.to_owned(), reason);
     match fs::symlink_metadata(path) {
         Ok(meta) if !meta.file_type().is_socket() => {
-            return Err(fault("is there and is no socket; name another path".into()))
+            return Err(error("is there and is no socket; name another path".into()))
         }
-        // A socket that nobody answers on was left by a process that was killed.
+        // A socket that refuses connections was left by a process that was killed.
         Ok(_) => match std::os::unix::net::UnixStream::connect(path) {
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                fs::remove_file(path).map_err(|e| fault(format!("left behind, can't be removed: {e}")))?;
+                fs::remove_file(path).map_err(|e| error(format!("left behind, can't be removed: {e}")))?;
             }
-            _ => return Err(fault("is in use by another process".into())),
+            _ => return Err(error("is in use by another process".into())),
         },
         Err(_) => {}
     }
-    // Made for its owner alone from the first moment on, whatever the mask was.
-    let mask = rustix::process::umask(rustix::fs::Mode::from_raw_mode(0o177));
-    let bound = UnixListener::bind(path);
-    rustix::process::umask(mask);
-    let listener = bound.map_err(|e| fault(format!("can't be made: {e}")))?;
+    // The umask restricts the socket to its owner from its creation on, before its mode is set below.
+    let old_mask = rustix::process::umask(rustix::fs::Mode::from_raw_mode(0o177));
+    let listener = UnixListener::bind(path);
+    rustix::process::umask(old_mask);
+    let listener = listener.map_err(|e| error(format!("can't be made: {e}")))?;
     fs::set_permissions(path, fs::Permissions::from_mode(0o600))
-        .map_err(|e| fault(format!("its mode can't be set: {e}")))?;
+        .map_err(|e| error(format!("its mode can't be set: {e}")))?;
     Ok(listener)
 }
 
 impl ControlEndpoint {
-    /// Listens.
+    /// Listens at the configured path.
+    ///
+    /// # Errors
+    /// The socket can't be created or registered.
     pub fn open(settings: &operator::Control, registry: &Registry, token: Token) -> Result<Self, StartError> {
         let mut listener = bind(&settings.socket)?;
         registry
             .register(&mut listener, token, Interest::READABLE)
             .map_err(|e| StartError::Socket(settings.socket.clone(), e.to_string()))?;
-        let mut uids = settings.allow_uids.clone();
-        uids.push(rustix::process::geteuid().as_raw());
+        let mut allowed_uids = settings.allow_uids.clone();
+        allowed_uids.push(rustix::process::geteuid().as_raw());
         Ok(ControlEndpoint {
             listener,
             path: settings.socket.clone(),
-            uids,
-            most: settings.max_connections,
+            allowed_uids,
+            max_connections: settings.max_connections,
             peers: Slab::new(),
             accepting: false,
-            rest_until: 0,
+            paused_until: 0,
         })
     }
 
-    /// Notes that the listener has connections.
+    /// Notes that the listener has connections to accept.
     pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
 
-    /// A connection can be read or written.
+    /// Handles a connection that can be read or written.
     pub fn connection_ready(&mut self, key: usize, now: Nanos) {
         if let Some(peer) = self.peers.get_mut(key) {
             peer.readable = true;
@@ -204,19 +220,19 @@
         self.flush(key, now);
     }
 
-    /// Has this endpoint work, and when may it be done?
+    /// When the endpoint may do its work, if it has any.
     pub fn work_due(&self) -> Option<Nanos> {
-        // Danger: what can't be worked on until its peer reads would have the loop spin.
-        let busy = |p: &Peer| !p.stuck() && (p.readable || !p.waiting.is_empty());
-        (self.accepting || self.peers.iter().any(|(_, p)| busy(p))).then_some(self.rest_until)
+        // A blocked connection does not count: the event loop would spin until its peer reads.
+        let has_work = |p: &Peer| !p.is_blocked() && (p.readable || !p.queue.is_empty());
+        (self.accepting || self.peers.iter().any(|(_, p)| has_work(p))).then_some(self.paused_until)
     }
 
-    /// The work of a turn took so long.
-    pub fn record_work(&mut self, began: Nanos, now: Nanos) {
-        self.rest_until = now + REST * now.saturating_sub(began);
+    /// Starts the pause after work that began at `started_at`.
+    pub fn record_work(&mut self, started_at: Nanos, now: Nanos) {
+        self.paused_until = now + PAUSE_FACTOR * now.saturating_sub(started_at);
     }
 
-    /// Accepts, reads, and takes the requests whose turn it is.
+    /// Accepts connections, reads their input, and returns the next request of each, up to [`MAX_PER_ITERATION`].
     pub fn take_requests(
         &mut self,
         registry: &Registry,
@@ -229,33 +245,33 @@
         for key in &keys {
             self.read(*key, buffer, now);
         }
-        let mut taken = Vec::new();
+        let mut requests = Vec::new();
         for key in keys {
             let Some(peer) = self.peers.get_mut(key) else { continue };
-            if taken.len() == TURN || peer.stuck() {
+            if requests.len() == MAX_PER_ITERATION || peer.is_blocked() {
                 continue;
             }
-            if let Some(frame) = peer.waiting.pop_front() {
-                (peer.asked, peer.spoke) = (now, true);
-                taken.push((key, Request::read(&frame)));
+            if let Some(frame) = peer.queue.pop_front() {
+                (peer.last_request_at, peer.has_sent_request) = (now, true);
+                requests.push((key, Request::read(&frame)));
             }
         }
-        taken
+        requests
     }
 
     fn accept(&mut self, registry: &Registry, token: impl Fn(usize) -> Token, now: Nanos) {
-        for _ in 0..TURN {
-            let accepted = super::next(&mut self.accepting, || self.listener.accept());
+        for _ in 0..MAX_PER_ITERATION {
+            let accepted = super::accept_next(&mut self.accepting, || self.listener.accept());
             let Some(mut stream) = accepted else { return };
-            let known = rustix::net::sockopt::socket_peercred(&stream).map(|c| c.uid.as_raw());
-            if !known.is_ok_and(|uid| self.uids.contains(&uid)) {
+            let uid = rustix::net::sockopt::socket_peercred(&stream).map(|c| c.uid.as_raw());
+            if !uid.is_ok_and(|uid| self.allowed_uids.contains(&uid)) {
                 continue;
             }
-            if self.peers.len() >= self.most {
-                // Who never said anything goes first, then who has been silent for longest; a watcher last.
-                let order = |p: &Peer| (p.watch.is_some(), p.spoke, p.asked);
-                let last = self.peers.iter().min_by_key(|(_, p)| order(p)).map(|(key, _)| key);
-                last.into_iter().for_each(|key| self.remove(key));
+            if self.peers.len() >= self.max_connections {
+                // Connections that have sent no request are evicted first, then the longest silent one; watchers last.
+                let eviction_order = |p: &Peer| (p.watch.is_some(), p.has_sent_request, p.last_request_at);
+                let evicted = self.peers.iter().min_by_key(|(_, p)| eviction_order(p)).map(|(key, _)| key);
+                evicted.into_iter().for_each(|key| self.remove(key));
             }
             let entry = self.peers.vacant_entry();
             let interest = Interest::READABLE | Interest::WRITABLE;
@@ -265,27 +281,27 @@
             entry.insert(Peer {
                 stream,
                 decoder: Decoder::new(MAX_REQUEST),
-                waiting: VecDeque::new(),
-                out: Vec::new(),
+                queue: VecDeque::new(),
+                output: Vec::new(),
                 written: 0,
                 readable: true,
-                asked: now,
-                spoke: false,
-                midway: None,
-                unread: None,
+                last_request_at: now,
+                has_sent_request: false,
+                partial_since: None,
+                blocked_since: None,
                 watch: None,
                 closing: false,
             });
         }
     }
 
-    /// Reads one piece of a connection.
+    /// Reads one buffer of input from a connection and splits it into frames.
     fn read(&mut self, key: usize, buffer: &mut [u8], now: Nanos) {
         let Some(peer) = self.peers.get_mut(key) else { return };
-        if !peer.readable || peer.stuck() || peer.waiting.len() >= WAITING {
+        if !peer.readable || peer.is_blocked() || peer.queue.len() >= MAX_QUEUED_REQUESTS {
             return;
         }
-        // A piece holds no more requests than may wait, or little more: the shortest has some thirty bytes.
+        // One read may exceed the limit of the queue, but only by a bounded number of requests, as each has 30 bytes or more.
         let n = match peer.stream.read(buffer) {
             Ok(0) => {
                 self.remove(key);
@@ -307,52 +323,53 @@
             match peer.decoder.feed(input) {
                 Ok((used, frame)) => {
                     input = &input[used..];
-                    peer.waiting.extend(frame);
+                    peer.queue.extend(frame);
                 }
-                Err(long) => {
-                    let message = format!("the frame is longer than {} bytes", long.most);
+                Err(too_long) => {
+                    let message = format!("the frame is longer than {} bytes", too_long.most);
                     peer.closing = true;
                     self.error(key, String::new(), Error::new(Code::BadFrame, message), now);
                     return;
                 }
             }
         }
-        peer.midway = peer.decoder.midway().then_some(peer.midway.unwrap_or(now));
+        peer.partial_since = peer.decoder.midway().then_some(peer.partial_since.unwrap_or(now));
     }
 
-    /// Answers a request.
+    /// Sends a reply to a request.
     pub fn reply(&mut self, key: usize, id: String, body: Body, now: Nanos) {
         let Some(peer) = self.peers.get_mut(key) else { return };
         if matches!(&body, Body::Error(e) if e.code == Code::BadFrame) {
-            // What follows a frame that can't be understood can't be either.
+            // After an invalid frame the boundaries of the following ones are unknown.
             peer.closing = true;
-            peer.waiting.clear();
+            peer.queue.clear();
         }
-        peer.out.extend(line(&Reply { v: VERSION, id, body }));
+        peer.output.extend(line(&Reply { v: VERSION, id, body }));
         self.flush(key, now);
     }
 
-    /// Answers a request that was not carried out.
+    /// Replies with an error to a request that was not executed.
     pub fn error(&mut self, key: usize, id: String, error: Error, now: Nanos) {
         self.reply(key, id, Body::Error(error), now);
     }
 
-    /// This connection wants to know of changes.
-    pub fn watch(&mut self, key: usize, id: String, every: Option<Nanos>, change: u64, now: Nanos) {
+    /// Starts a watch on a connection, which then gets an event for each change.
+    pub fn watch(&mut self, key: usize, id: String, interval: Option<Nanos>, change: u64, now: Nanos) {
         if let Some(peer) = self.peers.get_mut(key) {
-            peer.watch = Some(Watch { id, every, told: now, change });
+            peer.watch = Some(Watch { id, interval, notified_at: now, last_change: change });
         }
     }
 
-    /// Tells the watchers whose time has come, or who have not heard of this change.
+    /// Sends an event to each watcher that has not been notified of this change or whose interval has passed.
     pub fn notify_watchers(&mut self, change: u64, status: impl Fn() -> Status, now: Nanos) {
-        let due = |w: &Watch| {
-            w.change != change || w.every.is_some_and(|every| now.saturating_sub(w.told) >= every)
+        let is_due = |w: &Watch| {
+            w.last_change != change
+                || w.interval.is_some_and(|interval| now.saturating_sub(w.notified_at) >= interval)
         };
         let keys: Vec<usize> = self
             .peers
             .iter()
-            .filter(|(_, p)| p.watch.as_ref().is_some_and(due))
+            .filter(|(_, p)| p.watch.as_ref().is_some_and(is_due))
             .map(|(key, _)| key)
             .collect();
         if keys.is_empty() {
@@ -361,12 +378,12 @@
         let status = status();
         for key in keys {
             let Some(peer) = self.peers.get_mut(key) else { continue };
-            if peer.stuck() {
+            if peer.is_blocked() {
                 self.remove(key);
                 continue;
             }
             let Some(watch) = &mut peer.watch else { continue };
-            (watch.told, watch.change) = (now, change);
+            (watch.notified_at, watch.last_change) = (now, change);
             let id = watch.id.clone();
             self.reply(key, id, Body::Event(Box::new(status.clone())), now);
         }
@@ -374,14 +391,14 @@
 
     fn flush(&mut self, key: usize, now: Nanos) {
         let Some(peer) = self.peers.get_mut(key) else { return };
-        while peer.written < peer.out.len() {
-            match peer.stream.write(&peer.out[peer.written..]) {
+        while peer.written < peer.output.len() {
+            match peer.stream.write(&peer.output[peer.written..]) {
                 Ok(n) => {
                     peer.written += n;
-                    peer.unread = None;
+                    peer.blocked_since = None;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    peer.unread.get_or_insert(now);
+                    peer.blocked_since.get_or_insert(now);
                     return;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -391,8 +408,8 @@
                 }
             }
         }
-        peer.out = Vec::new();
-        (peer.written, peer.unread) = (0, None);
+        peer.output = Vec::new();
+        (peer.written, peer.blocked_since) = (0, None);
         if peer.closing {
             self.remove(key);
         }
@@ -402,14 +419,16 @@
         self.peers.try_remove(key);
     }
 
-    /// Ends what has waited too long.
+    /// Disconnects controllers that have exceeded a time limit.
     pub fn sweep(&mut self, now: Nanos) {
-        let late = |since: Option<Nanos>, most: Nanos| since.is_some_and(|at| now.saturating_sub(at) > most);
-        let over = |p: &Peer| {
-            let idle = p.watch.is_none() && p.waiting.is_empty() && late(Some(p.asked), IDLE);
-            idle || late(p.midway, PATIENCE) || late(p.unread, PATIENCE)
+        let exceeded =
+            |since: Option<Nanos>, timeout: Nanos| since.is_some_and(|at| now.saturating_sub(at) > timeout);
+        let has_expired = |p: &Peer| {
+            let is_idle =
+                p.watch.is_none() && p.queue.is_empty() && exceeded(Some(p.last_request_at), IDLE_TIMEOUT);
+            is_idle || exceeded(p.partial_since, IO_TIMEOUT) || exceeded(p.blocked_since, IO_TIMEOUT)
         };
-        self.peers.retain(|_, p| !over(p));
+        self.peers.retain(|_, p| !has_expired(p));
     }
 }
 
@@ -419,7 +438,10 @@
     }
 }
 
-/// Checks the interval of a watch.
+/// Converts and checks the interval of a watch.
+///
+/// # Errors
+/// The interval is out of range.
 pub fn watch_interval(every_ms: Option<u64>) -> Result<Option<Nanos>, Error> {
     let range = control::message::WATCH_MS;
     match every_ms {
@@ -427,11 +449,11 @@
             let message = format!("every_ms is {ms}; {} to {} is allowed", range.start(), range.end());
             Err(Error::new(Code::BadRequest, message))
         }
-        every => Ok(every.map(|ms| ms * MS)),
+        interval => Ok(interval.map(|ms| ms * MS)),
     }
 }
 
-/// Does this change something that a proxy on its way out no longer can?
+/// True for operations that a proxy no longer accepts once it is shutting down.
 pub fn requires_running_proxy(op: &Op) -> bool {
     !matches!(
         op,
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The ways into a proxy: clients, controllers, and operators that call.
+//! The listening endpoints of a proxy: for clients, for controllers, and for admin commands.
 
 pub mod admin;
 pub mod clients;
@@ -11,20 +11,24 @@
 
 use session::{PasswordHash, User, Users};
 
-/// A socket that listens at an address.
+/// The maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+
+/// Opens a listening socket at an address.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
-    // Danger: after a crash old connections keep the address for a minute.
+    // Without this, connections of a crashed process would block the address for a minute.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(1024)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// The next connection of a listener; nothing, and none is looked for any more, once there is none or it can't be had.
-fn next<S, A>(accepting: &mut bool, mut accept: impl FnMut() -> io::Result<(S, A)>) -> Option<S> {
+/// Accepts the next connection of a listener. Returns `None` and clears `accepting` if there is none or it can't be
+/// accepted.
+fn accept_next<S, A>(accepting: &mut bool, mut accept: impl FnMut() -> io::Result<(S, A)>) -> Option<S> {
     while *accepting {
         match accept() {
             Ok((stream, _)) => return Some(stream),
@@ -35,25 +39,25 @@
     None
 }
 
-/// The users of the operator's file, their tenants by number.
+/// Converts the users of the operator's file, whose tenants become indexes into `tenants`.
 ///
 /// # Errors
-/// The key and what is wrong with it.
-pub fn users(told: &operator::Clients, tenants: &[String]) -> Result<Users, String> {
-    let read = |(i, user): (usize, &operator::User)| {
-        let fault = |key: &str, what: String| format!("clients.users[{i}].{key}: {what}");
+/// Names the invalid key and the reason.
+pub fn users(clients: &operator::Clients, tenants: &[String]) -> Result<Users, String> {
+    let convert = |(i, user): (usize, &operator::User)| {
+        let error = |key: &str, reason: String| format!("clients.users[{i}].{key}: {reason}");
         let password = user.password.as_deref().map(PasswordHash::parse).transpose();
-        let number = |name: &String| {
-            let at = tenants.iter().position(|t| t == name).map(|t| t as u32);
-            at.ok_or_else(|| fault("tenants", format!("the settings have no customer {name:?}")))
+        let index_of = |name: &String| {
+            let index = tenants.iter().position(|t| t == name).map(|t| t as u32);
+            index.ok_or_else(|| error("tenants", format!("the settings have no customer {name:?}")))
         };
-        let tenants = user.tenants.as_ref().map(|all| all.iter().map(number).collect()).transpose()?;
+        let tenants = user.tenants.as_ref().map(|all| all.iter().map(index_of).collect()).transpose()?;
         Ok(User {
             name: user.name.clone(),
-            password: password.map_err(|e| fault("password", e.to_string()))?,
+            password: password.map_err(|e| error("password", e.to_string()))?,
             commands: user.commands.clone(),
             tenants,
         })
     };
-    Ok(Users::new(told.users.iter().enumerate().map(read).collect::<Result<_, String>>()?))
+    Ok(Users::new(clients.users.iter().enumerate().map(convert).collect::<Result<_, String>>()?))
 }
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -1,5 +1,5 @@
-//! What controllers ask of a proxy, carried out: its state told, boxes and the proxy itself drained, another
-//! configuration taken over. All that bears on where requests go reaches the module as events.
+//! Executes the operations of controllers and admin callers: status, drains of boxes and of the proxy itself, shadow
+//! traffic, and new configurations. Everything that affects where requests go reaches the balancer as an event.
 
 use super::admin::AdminCommand;
 use super::control::{requires_running_proxy, watch_interval};
@@ -9,62 +9,63 @@
 use crate::platform::config::Config;
 use crate::shadow_traffic::ShadowTraffic;
 use crate::{Proxy, MS};
-use ::control::message::{
-    Answer, Body, Code, Error, Known, List, Page, Phase, Reconfigured, Status, MAX_PAGE,
-};
-use ::control::state::follows;
-use ::control::{Op, Request, State, MAX_REPLY};
 use calicosaddle::api::{server_id, Event, Nanos, ServerId};
+use control::message::{Answer, Body, Code, Error, Known, List, Page, Phase, Reconfigured, Status, MAX_PAGE};
+use control::state::follows;
+use control::{Op, Request, State, MAX_REPLY};
 use serde_json::{json, Value};
 
+/// The assumed size of a listed host in a reply, in bytes.
+const HOST_BYTES: usize = 512;
+
 impl Proxy {
-    /// Does the work that controllers have, when its turn has come.
+    /// Executes the requests of controllers, unless the endpoint is pausing.
     pub(crate) fn serve_controllers(&mut self) {
         let Some(mut endpoint) = self.control.take() else { return };
-        let began = self.event_loop.clock.now();
-        if endpoint.work_due().is_some_and(|at| at <= began) {
-            self.event_loop.now = began;
+        let started_at = self.event_loop.clock.now();
+        if endpoint.work_due().is_some_and(|due| due <= started_at) {
+            self.event_loop.now = started_at;
             let registry = self.event_loop.registry();
             let requests = endpoint.take_requests(
                 registry,
                 |key| Source::ControlConnection(key).token(),
                 &mut self.buffer,
-                began,
+                started_at,
             );
             for (key, request) in requests {
-                let (id, done) = match request {
+                let (id, result) = match request {
                     Err((id, error)) => (id, Err(error)),
                     Ok(Request { id, op: Op::Watch { every_ms }, .. }) => {
-                        let watched = watch_interval(every_ms).map(|every| {
-                            endpoint.watch(key, id.clone(), every, self.change_count, began);
+                        let answer = watch_interval(every_ms).map(|interval| {
+                            endpoint.watch(key, id.clone(), interval, self.change_count, started_at);
                             Answer::Status(Box::new(self.status()))
                         });
-                        (id, watched)
+                        (id, answer)
                     }
                     Ok(Request { id, op, .. }) => (id, self.execute_op(op)),
                 };
                 self.process_pending();
-                match done {
-                    Ok(answer) => endpoint.reply(key, id, Body::Ok(answer), began),
-                    Err(error) => endpoint.error(key, id, error, began),
+                match result {
+                    Ok(answer) => endpoint.reply(key, id, Body::Ok(answer), started_at),
+                    Err(error) => endpoint.error(key, id, error, started_at),
                 }
             }
-            endpoint.notify_watchers(self.change_count, || self.status(), began);
-            endpoint.record_work(began, self.event_loop.clock.now());
+            endpoint.notify_watchers(self.change_count, || self.status(), started_at);
+            endpoint.record_work(started_at, self.event_loop.clock.now());
         }
         self.control = Some(endpoint);
     }
 
-    /// Tells watchers what changed, and lets go of controllers that take too long.
+    /// Notifies watchers of changes, and disconnects controllers that have exceeded a time limit.
     pub(crate) fn sweep_control(&mut self) {
         if !self.has_been_ready && self.boxes.counts().1 > 0 {
             self.has_been_ready = true;
             self.change_count += 1;
         }
         let Some(mut endpoint) = self.control.take() else { return };
-        // One that is drained stops by itself when its last client leaves.
-        let stopped = self.phase() == Phase::Stopped;
-        if std::mem::replace(&mut self.was_stopped, stopped) != stopped {
+        // A drained proxy stops without a request from a controller, when its last client disconnects.
+        let is_stopped = self.phase() == Phase::Stopped;
+        if std::mem::replace(&mut self.was_stopped, is_stopped) != is_stopped {
             self.change_count += 1;
         }
         endpoint.sweep(self.event_loop.now);
@@ -107,26 +108,26 @@
         Ok(Answer::Status(Box::new(self.status())))
     }
 
-    /// The list, as the next process may begin with it. Its version is discovery's.
+    /// The list of cache nodes in discovery's format and version, with which the next process may start.
     fn known_list(&self) -> Value {
         let Some(version) = self.discovery.last_list().0 else { return Value::Null };
         let hosts = self.boxes.hosts(&self.config.topology);
-        // Danger: an answer past the frame's bound would end the connection.
-        if hosts.len() > MAX_REPLY / 512 {
+        // A reply above the frame limit would end the connection.
+        if hosts.len() > MAX_REPLY / HOST_BYTES {
             return Value::Null;
         }
         json!({"seq": version, "whole": true, "hosts": hosts})
     }
 
-    /// Carries out an order for copying; how that stands then.
+    /// Executes an order for shadow traffic, and returns its state after that.
     fn run_shadow_order(
         &mut self,
         order: impl FnOnce(&mut ShadowTraffic, Nanos) -> Result<(), Error>,
     ) -> Result<Answer, Error> {
-        let Some(copies) = &mut self.shadow_traffic else {
+        let Some(shadow_traffic) = &mut self.shadow_traffic else {
             return Err(Error::new(Code::BadRequest, "the operator's file has no [shadow]"));
         };
-        order(copies, self.event_loop.now)?;
+        order(shadow_traffic, self.event_loop.now)?;
         self.update_candidates();
         self.persist_shadow_state();
         let copies = self.shadow_traffic.as_ref().map(|c| c.copying(&self.config.classes));
@@ -135,6 +136,7 @@
 
     // ---- drains ----
 
+    /// Stores a changed state and puts its drains in force.
     fn store_state(&mut self, change: Option<State>) -> Result<(), Error> {
         if let Some(state) = change {
             self.persisted.store(state)?;
@@ -144,7 +146,8 @@
         Ok(())
     }
 
-    /// Puts in force what operators said of boxes: for the module's choices, and for what waits to be written.
+    /// Applies the drains of boxes that operators requested: to requests waiting to be written, and to the choices of the
+    /// balancer.
     pub(crate) fn apply_box_drains(&mut self) {
         let servers: Vec<ServerId> = self.persisted.state.boxes.iter().map(|name| server_id(name)).collect();
         self.boxes.set_drained(&servers, self.event_loop.now);
@@ -164,12 +167,13 @@
         if self.draining_since.is_none() {
             return Ok(());
         }
-        let before = self.persisted.state.clone();
-        self.persisted.store(State { drained: false, ..before.clone() })?;
+        let old_state = self.persisted.state.clone();
+        self.persisted.store(State { drained: false, ..old_state.clone() })?;
         if self.closed_to_clients {
             if let Err(e) = self.clients.listen(self.event_loop.registry(), Source::ClientListener.token()) {
-                // Danger: a restart would serve where the tool was told that it stays drained.
-                self.persisted.store(before)?;
+                // The old state is restored: otherwise a restarted process would accept clients although the controller
+                // was told that the proxy is still drained.
+                self.persisted.store(old_state)?;
                 let message = format!("{} can't be listened at: {e}; still drained", self.config.listen);
                 return Err(Error::new(Code::Storage, message));
             }
@@ -186,11 +190,11 @@
             Config::parse(text, |_| None).map_err(|e| Error::new(Code::BadConfig, e.to_string()))?;
         self.boxes.check_config(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
         let (changes, needs_restart) = self.config.changes(&new);
-        let same = changes.is_empty() && needs_restart.is_empty();
-        let next = follows("generation", self.config.generation, generation, same)?;
-        let applied = needs_restart.is_empty();
-        if applied && next && !dry_run {
-            let (moved, settings) =
+        let is_unchanged = changes.is_empty() && needs_restart.is_empty();
+        let is_next = follows("generation", self.config.generation, generation, is_unchanged)?;
+        let is_applicable = needs_restart.is_empty();
+        if is_applicable && is_next && !dry_run {
+            let (address_changed, settings_changed) =
                 (new.discovery != self.config.discovery, new.settings != self.config.settings);
             new.generation = generation;
             self.config.apply(new);
@@ -198,23 +202,29 @@
             self.boxes.configure(&self.config);
             self.gates = Gates::new(self.config.max_open_requests);
             self.shadow_traffic.iter_mut().for_each(|c| c.set_proxies(&self.config));
-            if settings {
+            if settings_changed {
                 self.pending_events.push_back(Event::Settings(Box::new(self.config.settings.clone())));
             }
-            if moved {
+            if address_changed {
                 self.discovery_address_changed();
             }
             self.change_count += 1;
         }
         let changes = changes.into_iter().chain(needs_restart.iter().cloned()).collect();
-        Ok(Reconfigured { generation: self.config.generation, applied, changes, needs_restart })
+        Ok(Reconfigured {
+            generation: self.config.generation,
+            applied: is_applicable,
+            changes,
+            needs_restart,
+        })
     }
 
     // ---- state ----
 
+    /// The phase that controllers see.
     pub(crate) fn phase(&self) -> Phase {
-        let leaving = self.draining_since.is_some() || self.terminating_since.is_some();
-        match (leaving, self.closed_to_clients && self.clients.is_empty()) {
+        let is_leaving = self.draining_since.is_some() || self.terminating_since.is_some();
+        match (is_leaving, self.closed_to_clients && self.clients.is_empty()) {
             (true, true) => Phase::Stopped,
             (true, false) => Phase::Draining,
             (false, _) if self.has_been_ready || self.boxes.counts().1 > 0 => Phase::Ready,
@@ -222,36 +232,38 @@
         }
     }
 
-    /// Answers an operator's call.
+    /// Reads the command of an admin caller and answers it.
     pub(crate) fn serve_admin_caller(&mut self, key: usize) {
-        let Some(call) = self.admin.as_mut().and_then(|a| a.read_command(key, &mut self.buffer)) else {
+        let Some(command) = self.admin.as_mut().and_then(|a| a.read_command(key, &mut self.buffer)) else {
             return;
         };
-        let answer = match call {
-            // Before there is a listener, or once it is closed, clients are not taken.
+        let answer = match command {
+            // Without an open listener no clients are accepted.
             Ok(AdminCommand::Ready) if self.closed_to_clients || self.terminating_since.is_some() => {
                 "error not ready\n".to_owned()
             }
             Ok(AdminCommand::Ready) => "done\n".to_owned(),
-            Ok(AdminCommand::ShowStat) => self.figures() + "end\n",
-            Err(what) => format!("error {what}\n"),
+            Ok(AdminCommand::ShowStat) => self.metrics_text() + "end\n",
+            Err(reason) => format!("error {reason}\n"),
         };
         self.admin.iter_mut().for_each(|a| a.answer(key, &answer));
     }
 
-    fn figures(&self) -> String {
-        let now = Gauges {
+    /// All metrics, in text form.
+    fn metrics_text(&self) -> String {
+        let gauges = Gauges {
             backend_calls: self.boxes.attempts_written(),
             inflight: self.requests.unanswered() + self.streamed_values.len(),
             hosts_listed: self.boxes.counts().0,
             hosts_down: self.balancer.unavailable_servers(self.event_loop.now),
         };
-        self.observers.metrics.write(&self.config.classes, &now)
+        self.observers.metrics.write(&self.config.classes, &gauges)
     }
 
+    /// The status that controllers see.
     pub(crate) fn status(&self) -> Status {
-        let (version, heard) = self.discovery.last_list();
-        let since = |at: Nanos| self.event_loop.now.saturating_sub(at) / MS;
+        let (version, updated_at) = self.discovery.last_list();
+        let age_ms = |since: Nanos| self.event_loop.now.saturating_sub(since) / MS;
         let (boxes, usable, connections, attempts) = self.boxes.counts();
         let mut counters = self.observers.counters;
         counters.wrong_passwords = self.clients.wrong_passwords();
@@ -265,7 +277,7 @@
             drained: self.persisted.state.boxes.iter().cloned().collect(),
             list: List {
                 version,
-                age_ms: since(heard.unwrap_or(self.event_loop.clock.unix_start)),
+                age_ms: age_ms(updated_at.unwrap_or(self.event_loop.clock.unix_start)),
                 failing: self.discovery_failed,
                 boxes,
                 usable,
--- a/crates/proxy/src/platform/discovery.rs
+++ b/crates/proxy/src/platform/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery over HTTP: a watch that goes on from call to call.
+//! The discovery client: long polling over HTTP for the list of cache nodes.
 //!
-//! When calls begin is planned by `freshness`, what they tell is read here. Each call has a connection and a deadline of
-//! its own. Whatever goes wrong with one, a list that can't be understood too, ends in [`PollResult::Failed`]: the old list
-//! stands, and the next call is planned.
+//! `freshness` schedules the polls; this module sends them and parses their responses. Each poll has a connection and a
+//! deadline of its own. Any failure, including a list that can't be parsed, ends in [`PollResult::Failed`]: the current
+//! list stays in force, and the next poll is scheduled.
 
 use super::config::Config;
 use addresses::Address;
@@ -16,73 +16,75 @@
 use std::net::SocketAddr;
 
 const MS: Nanos = 1_000_000;
-/// So many calls may be out at once: the latest, and those that fell silent before it.
+/// The maximum number of polls in flight: the latest one, and earlier ones that have not been answered.
 pub const MAX_POLLS: usize = 4;
-/// A call is listened to for so long after its wait. Guards against answers that cross with a call given up: they count
-/// as told, and nobody has read them.
-const PATIENCE: Nanos = 2_500 * MS;
-/// An answer that has begun is whole so long after, or another call begins beside; ...
-const WHOLE: Nanos = 500 * MS;
-/// ... it is read on for as long as it goes on coming, but no longer than this.
-const LONGEST: Nanos = 10_000 * MS;
-/// The longest head of an answer.
-const MAX_HEAD: usize = 16 << 10;
-/// The longest body is this part of the memory, which holds it several times over while it is read, ...
-const BODY_PART: u64 = 16;
-/// ... and no less than this: some 4,000 boxes, indented.
-const LEAST_BODY: usize = 1 << 20;
-/// So many answers in a row that are older than the list in force are not believed; a whole list after them is.
-/// Guards against a copy of discovery that lags behind the one that answered before: it would bring back boxes that
-/// are gone. Danger: a discovery that lost its count would never be heard again, so it is, after some seconds of asking.
-const OLDER: u32 = 3;
-/// The longest line that tells a chunk's size.
-const MAX_CHUNK_LINE: usize = 256;
+/// How long a poll is read after its wait has ended. Discovery counts a list as delivered once it has sent it, so a
+/// response that crosses with the end of its poll must still be read.
+const RESPONSE_TIMEOUT: Nanos = 2_500 * MS;
+/// A response that has begun but is not complete after this time is replaced by another poll, ...
+const STALL_TIMEOUT: Nanos = 500 * MS;
+/// ... but is read for up to this long as long as more of it arrives.
+const MAX_RESPONSE_TIME: Nanos = 10_000 * MS;
+/// The maximum size of a response head and of a trailer line, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The maximum body size is the memory limit divided by this: a body is held several times over while it is parsed, ...
+const BODY_MEMORY_DIVISOR: u64 = 16;
+/// ... but it is at least this many bytes, enough for about 4,000 cache nodes in indented JSON.
+const MIN_BODY_LIMIT_BYTES: usize = 1 << 20;
+/// This many consecutive lists older than the one in force are rejected; a full list after them is accepted. A lagging
+/// replica of discovery would otherwise bring back removed cache nodes, while a discovery whose counter was reset has
+/// to be accepted after some seconds.
+const MAX_REJECTED_OLDER_LISTS: u32 = 3;
+/// The maximum length of a line with a chunk size, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// The names that stand in lists for zones and machine kinds, in the order of the settings.
+/// The names of zones and machine types in lists, in the order of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct TopologyNames {
-    /// Zones.
+    /// Names of zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Names of machine types.
     pub machine_kinds: Vec<String>,
 }
 
 /// A cache node in a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name, the same at every proxy.
+    /// Its name, which is the same at every proxy.
     pub name: Box<str>,
-    /// What the module is told of it.
+    /// The entry for the balancer.
     pub entry: ServerEntry,
-    /// Where it is, in the order of the list; a removed one may have no address.
+    /// Its addresses, in the order of the list. A removed node may have none.
     pub addresses: Vec<Address>,
-    /// What stood among its addresses and is none.
+    /// Descriptions of the listed addresses that could not be parsed.
     pub invalid_addresses: Vec<String>,
 }
 
-/// A list, whole or changes only.
+/// A full list of cache nodes, or the changes to an earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// All hosts are named (else those that changed).
+    /// True if all nodes are listed, false if only those that changed.
     pub full: bool,
-    /// The hosts.
+    /// The listed nodes.
     pub hosts: Vec<Host>,
 }
 
-/// Why a list could not be read.
+/// Why a list could not be obtained.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ListError {
-    /// The answer is not HTTP, not whole, or too long.
+    /// The connection failed, or the response is malformed, truncated or too long.
     Http(&'static str),
-    /// Discovery answered with another status than 200.
+    /// Discovery responded with this status instead of 200.
     Status(u16),
     /// The body is not JSON.
     Json,
-    /// A field is missing or makes no sense.
+    /// This field is missing or has an invalid value.
     Field(&'static str),
-    /// It is of this version, older than the one in force.
+    /// The list has the first version, which is older than the second one, the version in force.
     Older(u64, u64),
 }
 
@@ -93,33 +95,38 @@
             ListError::Status(code) => write!(f, "answered {code}"),
             ListError::Json => write!(f, "not JSON"),
             ListError::Field(name) => write!(f, "{name} is missing or wrong"),
-            ListError::Older(told, known) => write!(f, "seq {told} is older than {known}, which is in force"),
+            ListError::Older(received, current) => {
+                write!(f, "seq {received} is older than {current}, which is in force")
+            }
         }
     }
 }
 
-/// Reads a list in discovery's form.
+/// Parses a list in discovery's JSON format.
+///
+/// # Errors
+/// A field is missing or has an invalid value.
 pub fn read_list(json: &Value, names: &TopologyNames) -> Result<ListUpdate, ListError> {
     let version = json["seq"].as_u64().ok_or(ListError::Field("seq"))?;
-    let whole = json["whole"].as_bool().ok_or(ListError::Field("whole"))?;
+    let full = json["whole"].as_bool().ok_or(ListError::Field("whole"))?;
     let hosts = json["hosts"].as_array().ok_or(ListError::Field("hosts"))?;
-    let hosts = hosts.iter().map(|h| read_host(h, names)).collect::<Result<_, _>>()?;
-    Ok(ListUpdate { version, full: whole, hosts })
+    let hosts = hosts.iter().map(|host| read_host(host, names)).collect::<Result<_, _>>()?;
+    Ok(ListUpdate { version, full, hosts })
 }
 
 fn read_host(json: &Value, names: &TopologyNames) -> Result<Host, ListError> {
-    let host = json["host"].as_str().filter(|h| !h.is_empty()).ok_or(ListError::Field("host"))?;
+    let name = json["host"].as_str().filter(|name| !name.is_empty()).ok_or(ListError::Field("host"))?;
     let state = match json["health"].as_str() {
         Some("up") => ServerState::Ready,
         Some("draining") => ServerState::Draining,
         Some("removed") => ServerState::Removed,
-        // Danger: to take an unknown state for a known one may send work where none is wanted.
+        // Treating an unknown state as a known one could send work to a node that must not get any.
         _ => return Err(ListError::Field("health")),
     };
-    // Beside `dial`, which is enough, an entry may carry `dials`, an ordered list that is taken instead. One in
-    // which nothing can be used is a box without a connection; the list it stands in holds.
-    let (dials, faults) = match json["dials"].as_array() {
-        Some(all) => addresses::parse_list(all.iter().map(|d| d.as_str().unwrap_or_default())),
+    // An entry has one address in `dial`, or an ordered list in `dials`, which takes precedence. A node without any
+    // valid address in `dials` gets no connection, but the rest of the list is used.
+    let (addresses, invalid_addresses) = match json["dials"].as_array() {
+        Some(all) => addresses::parse_list(all.iter().map(|address| address.as_str().unwrap_or_default())),
         None => {
             let dial: Option<SocketAddr> = json["dial"].as_str().and_then(|d| d.parse().ok());
             if dial.is_none() && state != ServerState::Removed {
@@ -128,258 +135,275 @@
             (dial.map(Address::Tcp).into_iter().collect(), Vec::new())
         }
     };
-    let number = |name: &str| json[name].as_u64().unwrap_or(0);
-    // A zone or kind that the settings don't name is like no other.
-    let place = |all: &[String], name: &Value| {
-        let at = name.as_str().and_then(|n| all.iter().position(|z| z == n)).map(|i| i as u64);
-        at.or(name.as_u64()).map_or(u32::MAX, |i| i as u32)
+    let number = |key: &str| json[key].as_u64().unwrap_or(0);
+    // A zone or machine type that is not in the settings equals no other.
+    let index_of = |known: &[String], name: &Value| {
+        let index = name.as_str().and_then(|n| known.iter().position(|k| k == n)).map(|i| i as u64);
+        index.or(name.as_u64()).map_or(u32::MAX, |i| i as u32)
     };
     let entry = ServerEntry {
-        server: server_id(host),
-        zone: place(&names.zones, &json["site"]),
-        kind: place(&names.machine_kinds, &json["class"]),
+        server: server_id(name),
+        zone: index_of(&names.zones, &json["site"]),
+        kind: index_of(&names.machine_kinds, &json["class"]),
         cell: number("block") as u32,
         state,
         weight: json["share"].as_f64().unwrap_or(1.0),
         started_at: number("born_ms").saturating_mul(MS),
     };
-    Ok(Host { name: host.into(), entry, addresses: dials, invalid_addresses: faults })
+    Ok(Host { name: name.into(), entry, addresses, invalid_addresses })
 }
 
-/// What comes of the calls.
+/// The result of a poll.
 #[derive(Debug, PartialEq)]
 pub enum PollResult {
-    /// A list.
+    /// A list was received.
     Update(ListUpdate),
-    /// A call failed, or the watch ended with it.
+    /// The poll failed, or the watch has ended.
     Failed(ListError),
 }
 
-/// The length of an answer's body.
+/// How the rest of a response is framed.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
+    /// The head is not complete.
     Head,
-    Left(usize),
-    /// In chunks: what is left of this one; 0 when its size is yet to come.
-    Chunks(usize),
+    /// The body has this many bytes left.
+    Remaining(usize),
+    /// The current chunk has this many bytes left; 0 if the line with its size is still to come.
+    Chunk(usize),
+    /// The line end after a chunk.
     ChunkEnd,
-    /// The trailer after the last chunk: how long its line is so far.
+    /// The trailer after the last chunk, with the length of its current line so far.
     Trailer(usize),
-    ToEnd,
-    Done,
+    /// The body extends to the end of the connection.
+    UntilClose,
+    Complete,
 }
 
+/// An HTTP request to discovery in flight.
 #[derive(Debug)]
-struct Call {
+struct Poll {
     token: Token,
     stream: TcpStream,
-    out: Vec<u8>,
+    request: Vec<u8>,
     written: usize,
-    /// It waits for news.
-    waits: bool,
+    /// True for a long poll, which discovery answers when the list changes.
+    is_long: bool,
     deadline: Nanos,
-    /// When the first and the last bytes of its answer came.
-    heard: Option<(Nanos, Nanos)>,
-    /// The longest body that it takes.
-    most: usize,
+    /// When the first and the latest bytes of the response arrived.
+    received_at: Option<(Nanos, Nanos)>,
+    max_body: usize,
     framing: Framing,
-    /// Input not yet understood: a head, or a chunk's size.
+    /// Input that is not complete enough to parse: a head, or the line with a chunk size.
     pending: Vec<u8>,
     body: Vec<u8>,
 }
 
-/// The calls to discovery: the latest, and some that have been given up and may yet say something.
+/// The discovery client: the latest poll, and earlier ones that have been replaced but may still be answered.
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
     names: TopologyNames,
-    follower: PollScheduler,
+    scheduler: PollScheduler,
     version: Option<u64>,
-    /// When discovery answered last.
-    heard: Option<Nanos>,
-    /// Older lists in a row.
-    older: u32,
+    /// When discovery last responded with a valid list.
+    updated_at: Option<Nanos>,
+    /// The number of consecutive lists that were older than the one in force.
+    older_lists: u32,
     tokens: [Token; MAX_POLLS],
-    /// The longest list that it takes.
-    most: usize,
-    latest: Option<Call>,
-    /// The calls that fell silent: the one that began first comes first.
-    silent: Vec<Call>,
+    /// The maximum size of a response body, in bytes.
+    max_body: usize,
+    latest: Option<Poll>,
+    /// The replaced polls, oldest first.
+    replaced: Vec<Poll>,
 }
 
 impl Discovery {
-    /// Nothing asked yet; `version` is that of the list already known.
+    /// Creates a client that has sent nothing yet; `version` is that of the list already known.
     pub fn new(config: &Config, version: Option<u64>, now: Nanos, tokens: [Token; MAX_POLLS]) -> Self {
         Discovery {
             address: config.discovery,
             names: config.topology.clone(),
-            follower: PollScheduler::new(PollConfig::from(&config.settings), config.seed, now),
+            scheduler: PollScheduler::new(PollConfig::from(&config.settings), config.seed, now),
             version,
-            heard: None,
-            older: 0,
+            updated_at: None,
+            older_lists: 0,
             tokens,
-            most: ((config.memory_mb << 20) / BODY_PART).max(LEAST_BODY as u64) as usize,
+            max_body: ((config.memory_mb << 20) / BODY_MEMORY_DIVISOR).max(MIN_BODY_LIMIT_BYTES as u64)
+                as usize,
             latest: None,
-            silent: Vec::new(),
+            replaced: Vec::new(),
         }
     }
 
-    /// Discovery is at another address from now on. Calls that are out end, and the list is known in no
-    /// version of the new one's.
+    /// Switches to discovery at another address. Polls in flight are dropped. Versions of one discovery mean nothing to
+    /// another, so the next poll requests the full list.
     pub fn change_address(&mut self, address: SocketAddr, now: Nanos) {
-        (self.address, self.version, self.older, self.latest) = (address, None, 0, None);
-        self.silent.clear();
-        self.follower.discovery_moved(now);
+        (self.address, self.version, self.older_lists, self.latest) = (address, None, 0, None);
+        self.replaced.clear();
+        self.scheduler.discovery_moved(now);
     }
 
-    /// Other settings hold from now on.
-    pub fn configure(&mut self, terms: PollConfig) {
-        self.follower.configure(terms);
+    /// Applies new settings.
+    pub fn configure(&mut self, config: PollConfig) {
+        self.scheduler.configure(config);
     }
 
-    /// The version of the list, and when discovery last said what it is.
+    /// The version of the list, and when discovery last responded with a valid list.
     pub fn last_list(&self) -> (Option<u64>, Option<Nanos>) {
-        (self.version, self.heard)
+        (self.version, self.updated_at)
     }
 
-    /// When a call is to begin.
+    /// When the next poll is due.
     pub fn next_wakeup(&self) -> Nanos {
-        self.follower.next_wakeup()
+        self.scheduler.next_wakeup()
     }
 
-    /// Begins the call that is due. The one that was out is given up, and listened to all the same.
+    /// Starts a poll if one is due. It replaces the one in flight, whose response is still read.
     pub fn start_due_poll(&mut self, registry: &Registry, now: Nanos) -> Option<PollResult> {
-        if !self.follower.start_if_due(now) {
+        if !self.scheduler.start_if_due(now) {
             return None;
         }
-        self.begin(registry, None, now).err().map(PollResult::Failed)
+        self.start_poll(registry, None, now).err().map(PollResult::Failed)
     }
 
-    /// Begins a call that does not wait, or waits for so long. If that fails, the next one is planned.
-    fn begin(&mut self, registry: &Registry, wait: Option<Nanos>, now: Nanos) -> Result<(), ListError> {
-        // Danger: with the first of them given up, a discovery that takes its time would never be heard.
-        self.silent.extend(self.latest.take().filter(|_| self.silent.len() + 2 <= MAX_POLLS));
-        let begun = self.call(registry, wait, now);
-        self.latest = Some(begun.inspect_err(|_| self.follower.poll_failed(now))?);
+    /// Starts a poll: with a `wait` a long poll, otherwise one that is answered at once. If that fails, the next poll is
+    /// scheduled.
+    fn start_poll(&mut self, registry: &Registry, wait: Option<Nanos>, now: Nanos) -> Result<(), ListError> {
+        // Without a free slot the latest poll is dropped, not the oldest: otherwise no poll would live long enough for a
+        // slow discovery to respond.
+        self.replaced.extend(self.latest.take().filter(|_| self.replaced.len() + 2 <= MAX_POLLS));
+        let poll = self.open_poll(registry, wait, now);
+        self.latest = Some(poll.inspect_err(|_| self.scheduler.poll_failed(now))?);
         Ok(())
     }
 
-    fn call(&self, registry: &Registry, wait: Option<Nanos>, now: Nanos) -> Result<Call, ListError> {
-        let used = |t: &Token| self.silent.iter().chain(&self.latest).any(|c| c.token == *t);
-        let token = self.tokens.into_iter().find(|t| !used(t)).unwrap_or(self.tokens[0]);
+    /// Connects to discovery with a request ready to be written.
+    fn open_poll(&self, registry: &Registry, wait: Option<Nanos>, now: Nanos) -> Result<Poll, ListError> {
+        let in_use =
+            |token: &Token| self.replaced.iter().chain(&self.latest).any(|poll| poll.token == *token);
+        let token = self.tokens.into_iter().find(|token| !in_use(token)).unwrap_or(self.tokens[0]);
         let query = match self.version {
             Some(version) => format!("?since={version}&timeout_ms={}", wait.unwrap_or(0) / MS),
             None => String::new(),
         };
         let address = self.address;
-        let out = format!(
+        let request = format!(
             "GET /catalog/members{query} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\
              Connection: close\r\n\r\n"
         );
-        let failed = |_| ListError::Http("no connection");
-        let mut stream = TcpStream::connect(address).map_err(failed)?;
-        registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).map_err(failed)?;
-        Ok(Call {
+        let no_connection = |_| ListError::Http("no connection");
+        let mut stream = TcpStream::connect(address).map_err(no_connection)?;
+        registry
+            .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)
+            .map_err(no_connection)?;
+        Ok(Poll {
             token,
             stream,
-            out: out.into_bytes(),
+            request: request.into_bytes(),
             written: 0,
-            waits: wait.is_some(),
-            deadline: now + wait.unwrap_or(0) + PATIENCE,
-            heard: None,
-            most: self.most,
+            is_long: wait.is_some(),
+            deadline: now + wait.unwrap_or(0) + RESPONSE_TIMEOUT,
+            received_at: None,
+            max_body: self.max_body,
             framing: Framing::Head,
             pending: Vec::new(),
             body: Vec::new(),
         })
     }
 
-    /// Drives the call of a token as far as its socket allows; its answer, once there is one. That a call which has been
-    /// given up fails is no news.
+    /// Reads and writes the poll of a token as far as its socket allows, and returns its result once there is one. The
+    /// failure of a replaced poll is not reported.
     pub fn handle_ready(&mut self, registry: &Registry, token: Token, now: Nanos) -> Option<PollResult> {
-        let latest = self.latest.as_ref().is_some_and(|c| c.token == token);
-        let (news, waited) = if latest {
-            let told = self.latest.as_mut()?.told(&self.names, now)?;
-            let waited = self.latest.take().is_some_and(|c| c.waits);
-            match told.and_then(|n| self.in_order(n)) {
-                Ok(news) => (news, waited),
+        let is_latest = self.latest.as_ref().is_some_and(|poll| poll.token == token);
+        let (update, was_long) = if is_latest {
+            let response = self.latest.as_mut()?.response(&self.names, now)?;
+            let was_long = self.latest.take().is_some_and(|poll| poll.is_long);
+            match response.and_then(|update| self.check_version(update)) {
+                Ok(update) => (update, was_long),
                 Err(e) => {
-                    self.follower.poll_failed(now);
+                    self.scheduler.poll_failed(now);
                     return Some(PollResult::Failed(e));
                 }
             }
         } else {
-            let at = self.silent.iter().position(|c| c.token == token)?;
-            let told = self.silent[at].told(&self.names, now)?;
-            self.silent.remove(at);
-            // What is not newer than what is known by now has been heard since.
-            let news = told.ok().filter(|n| self.version.is_none_or(|known| n.version >= known))?;
-            (news, true)
+            let index = self.replaced.iter().position(|poll| poll.token == token)?;
+            let response = self.replaced[index].response(&self.names, now)?;
+            self.replaced.remove(index);
+            // An older list is ignored: a later poll has delivered a newer one since.
+            let update = response.ok().filter(|u| self.version.is_none_or(|known| u.version >= known))?;
+            (update, true)
         };
-        let newer = self.version != Some(news.version);
-        (self.version, self.heard) = (Some(news.version), Some(now));
-        if let Some(wait) = self.follower.list_received(now, latest) {
-            // Danger: a call more than 200 ms after the last answer begins a new watch.
-            // The list that was told holds all the same if it can't begin.
-            let _ = self.begin(registry, Some(wait), now).inspect_err(|e| eprintln!("discovery: {e}"));
+        let is_newer = self.version != Some(update.version);
+        (self.version, self.updated_at) = (Some(update.version), Some(now));
+        if let Some(wait) = self.scheduler.list_received(now, is_latest) {
+            // The next long poll starts at once: discovery counts a poll more than 200 ms after the last response as a
+            // new watch. The list just received is used even if it can't start.
+            let _ = self.start_poll(registry, Some(wait), now).inspect_err(|e| eprintln!("discovery: {e}"));
         }
-        // A call that waited in vain says nothing new, but the first one says that the watch has begun.
-        let told = !waited || newer || news.full || !news.hosts.is_empty();
-        told.then_some(PollResult::Update(news))
+        // A long poll that ended without changes is not reported. The response to the first poll always is: it shows
+        // that the watch has started.
+        let reported = !was_long || is_newer || update.full || !update.hosts.is_empty();
+        reported.then_some(PollResult::Update(update))
     }
 
-    /// The list, unless it is older than the one in force.
-    fn in_order(&mut self, news: ListUpdate) -> Result<ListUpdate, ListError> {
+    /// Rejects a list that is older than the one in force, up to [`MAX_REJECTED_OLDER_LISTS`] times in a row.
+    fn check_version(&mut self, update: ListUpdate) -> Result<ListUpdate, ListError> {
         match self.version {
-            Some(known) if news.version < known && !(news.full && self.older >= OLDER) => {
-                self.older += 1;
-                Err(ListError::Older(news.version, known))
+            Some(known)
+                if update.version < known
+                    && !(update.full && self.older_lists >= MAX_REJECTED_OLDER_LISTS) =>
+            {
+                self.older_lists += 1;
+                Err(ListError::Older(update.version, known))
             }
             _ => {
-                self.older = 0;
-                Ok(news)
+                self.older_lists = 0;
+                Ok(update)
             }
         }
     }
 
-    /// Gives up a call that has stopped in the middle of its answer, and those that nothing is to be heard of any more.
+    /// Replaces a poll whose response has stalled, and drops replaced polls that are past their deadline.
     pub fn expire_polls(&mut self, registry: &Registry, now: Nanos) -> Option<PollResult> {
-        self.silent.retain(|c| !c.is_over(now));
-        if self.latest.as_ref().is_some_and(|c| c.has_stopped(now)) {
-            self.follower.start_replacement(now);
-            return self.begin(registry, None, now).err().map(PollResult::Failed);
+        self.replaced.retain(|poll| !poll.has_expired(now));
+        if self.latest.as_ref().is_some_and(|poll| poll.has_stalled(now)) {
+            self.scheduler.start_replacement(now);
+            return self.start_poll(registry, None, now).err().map(PollResult::Failed);
         }
         None
     }
 }
 
-impl Call {
-    /// Its answer began, and is not whole though it had time.
-    fn has_stopped(&self, now: Nanos) -> bool {
-        self.heard.is_some_and(|(first, _)| first + WHOLE <= now)
+impl Poll {
+    /// True if the response began [`STALL_TIMEOUT`] ago and is not complete.
+    fn has_stalled(&self, now: Nanos) -> bool {
+        self.received_at.is_some_and(|(first, _)| first + STALL_TIMEOUT <= now)
     }
 
-    /// Nothing more is to be heard: its time is up, and no answer is on its way.
-    fn is_over(&self, now: Nanos) -> bool {
-        let comes = self.heard.is_some_and(|(first, last)| last + WHOLE > now && first + LONGEST > now);
-        self.deadline <= now && !comes
+    /// True if the deadline has passed and no response is arriving.
+    fn has_expired(&self, now: Nanos) -> bool {
+        let is_arriving = self
+            .received_at
+            .is_some_and(|(first, last)| last + STALL_TIMEOUT > now && first + MAX_RESPONSE_TIME > now);
+        self.deadline <= now && !is_arriving
     }
 
-    /// Drives the call; once it is over, what it told is given.
-    fn told(&mut self, names: &TopologyNames, now: Nanos) -> Option<Result<ListUpdate, ListError>> {
-        let read = match self.drive(now) {
+    /// Reads and writes as far as the socket allows, and returns the parsed response once the poll has ended.
+    fn response(&mut self, names: &TopologyNames, now: Nanos) -> Option<Result<ListUpdate, ListError>> {
+        let json = match self.transfer(now) {
             Ok(false) => return None,
             Ok(true) => serde_json::from_slice(&self.body).map_err(|_| ListError::Json),
             Err(e) => Err(e),
         };
-        Some(read.and_then(|json| read_list(&json, names)))
+        Some(json.and_then(|json| read_list(&json, names)))
     }
 
-    /// Writes and reads what it can; true once the body is whole.
-    fn drive(&mut self, now: Nanos) -> Result<bool, ListError> {
+    /// Writes and reads as far as the socket allows. Returns true once the body is complete.
+    fn transfer(&mut self, now: Nanos) -> Result<bool, ListError> {
         let lost = ListError::Http("connection lost");
-        while self.written < self.out.len() {
-            match self.stream.write(&self.out[self.written..]) {
+        while self.written < self.request.len() {
+            match self.stream.write(&self.request[self.written..]) {
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
@@ -388,103 +412,106 @@
                 Err(_) => return Err(lost),
             }
         }
-        let mut buffer = [0; 16 << 10];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
-                Ok(0) if matches!(self.framing, Framing::ToEnd) => return Ok(true),
+                Ok(0) if matches!(self.framing, Framing::UntilClose) => return Ok(true),
                 Ok(0) => return Err(lost),
                 Ok(n) => {
-                    self.heard = Some((self.heard.map_or(now, |(first, _)| first), now));
-                    self.take(&buffer[..n])?;
+                    self.received_at = Some((self.received_at.map_or(now, |(first, _)| first), now));
+                    self.parse(&buffer[..n])?;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
                 Err(_) => return Err(lost),
             }
-            if matches!(self.framing, Framing::Done) {
+            if matches!(self.framing, Framing::Complete) {
                 return Ok(true);
             }
         }
     }
 
-    fn take(&mut self, mut input: &[u8]) -> Result<(), ListError> {
+    /// Parses the next bytes of the response.
+    fn parse(&mut self, mut input: &[u8]) -> Result<(), ListError> {
         while !input.is_empty() {
             match self.framing {
                 Framing::Head => {
                     self.pending.extend_from_slice(input);
-                    let Some(head) = self.head()? else { return Ok(()) };
+                    let Some(head_length) = self.parse_head()? else { return Ok(()) };
                     let pending = std::mem::take(&mut self.pending);
-                    return self.take(&pending[head..]);
+                    return self.parse(&pending[head_length..]);
                 }
-                Framing::ToEnd => {
-                    self.keep(input)?;
+                Framing::UntilClose => {
+                    self.append_body(input)?;
                     return Ok(());
                 }
-                Framing::Left(left) => {
+                Framing::Remaining(left) => {
                     let n = left.min(input.len());
-                    self.keep(&input[..n])?;
+                    self.append_body(&input[..n])?;
                     input = &input[n..];
-                    self.framing = if left == n { Framing::Done } else { Framing::Left(left - n) };
+                    self.framing = if left == n { Framing::Complete } else { Framing::Remaining(left - n) };
                 }
-                Framing::Chunks(0) => {
+                Framing::Chunk(0) => {
                     self.pending.push(input[0]);
                     input = &input[1..];
                     if self.pending.ends_with(b"\n") {
                         self.framing = match httparse::parse_chunk_size(&self.pending) {
                             Ok(httparse::Status::Complete((_, 0))) => Framing::Trailer(0),
-                            Ok(httparse::Status::Complete((_, n))) if n <= self.most as u64 => {
-                                Framing::Chunks(n as usize)
+                            Ok(httparse::Status::Complete((_, n))) if n <= self.max_body as u64 => {
+                                Framing::Chunk(n as usize)
                             }
                             _ => return Err(ListError::Http("bad chunk")),
                         };
                         self.pending.clear();
-                    } else if self.pending.len() > MAX_CHUNK_LINE {
+                    } else if self.pending.len() > MAX_CHUNK_LINE_BYTES {
                         return Err(ListError::Http("bad chunk"));
                     }
                 }
-                Framing::Chunks(left) => {
+                Framing::Chunk(left) => {
                     let n = left.min(input.len());
-                    self.keep(&input[..n])?;
+                    self.append_body(&input[..n])?;
                     input = &input[n..];
-                    self.framing = if left == n { Framing::ChunkEnd } else { Framing::Chunks(left - n) };
+                    self.framing = if left == n { Framing::ChunkEnd } else { Framing::Chunk(left - n) };
                 }
                 Framing::ChunkEnd => {
                     match input[0] {
                         b'\r' => {}
-                        b'\n' => self.framing = Framing::Chunks(0),
+                        b'\n' => self.framing = Framing::Chunk(0),
                         _ => return Err(ListError::Http("bad chunk")),
                     }
                     input = &input[1..];
                 }
-                Framing::Trailer(line) => {
+                Framing::Trailer(line_length) => {
                     self.framing = match input[0] {
-                        b'\n' if line == 0 => Framing::Done,
+                        b'\n' if line_length == 0 => Framing::Complete,
                         b'\n' => Framing::Trailer(0),
-                        b'\r' => Framing::Trailer(line),
-                        _ if line > MAX_HEAD => return Err(ListError::Http("trailer is too long")),
-                        _ => Framing::Trailer(line + 1),
+                        b'\r' => Framing::Trailer(line_length),
+                        _ if line_length > MAX_HEAD_BYTES => {
+                            return Err(ListError::Http("trailer is too long"))
+                        }
+                        _ => Framing::Trailer(line_length + 1),
                     };
                     input = &input[1..];
                 }
-                Framing::Done => return Ok(()),
+                Framing::Complete => return Ok(()),
             }
         }
         Ok(())
     }
 
-    fn keep(&mut self, part: &[u8]) -> Result<(), ListError> {
-        if self.body.len() + part.len() > self.most {
+    fn append_body(&mut self, part: &[u8]) -> Result<(), ListError> {
+        if self.body.len() + part.len() > self.max_body {
             return Err(ListError::Http("body is too long"));
         }
         self.body.extend_from_slice(part);
         Ok(())
     }
 
-    /// Reads the head once it is whole; tells its length and sets the framing of the body.
-    fn head(&mut self) -> Result<Option<usize>, ListError> {
+    /// Parses the head once it is complete, sets the framing of the body, and returns the length of the head.
+    fn parse_head(&mut self) -> Result<Option<usize>, ListError> {
         if !self.pending.windows(4).any(|w| w == b"\r\n\r\n") {
-            let long = self.pending.len() > MAX_HEAD;
-            return if long { Err(ListError::Http("head is too long")) } else { Ok(None) };
+            let is_too_long = self.pending.len() > MAX_HEAD_BYTES;
+            return if is_too_long { Err(ListError::Http("head is too long")) } else { Ok(None) };
         }
         let mut fields = [httparse::EMPTY_HEADER; 64];
         let mut head = httparse::Response::new(&mut fields);
@@ -495,19 +522,19 @@
         if code != 200 {
             return Err(ListError::Status(code));
         }
-        let mut framing = Framing::ToEnd;
+        let mut framing = Framing::UntilClose;
         for field in head.headers.iter() {
             let value = std::str::from_utf8(field.value).unwrap_or_default().trim();
             if field.name.eq_ignore_ascii_case("transfer-encoding") {
                 if !value.eq_ignore_ascii_case("chunked") {
                     return Err(ListError::Http("unknown transfer-encoding"));
                 }
-                framing = Framing::Chunks(0);
+                framing = Framing::Chunk(0);
             } else if field.name.eq_ignore_ascii_case("content-length")
-                && !matches!(framing, Framing::Chunks(_))
+                && !matches!(framing, Framing::Chunk(_))
             {
                 let n = value.parse().map_err(|_| ListError::Http("bad content-length"))?;
-                framing = if n == 0 { Framing::Done } else { Framing::Left(n) };
+                framing = if n == 0 { Framing::Complete } else { Framing::Remaining(n) };
             }
         }
         self.framing = framing;
--- a/crates/proxy/src/platform/inherited.rs
+++ b/crates/proxy/src/platform/inherited.rs
@@ -1,13 +1,13 @@
-//! The listening socket for clients, where the platform keeps it and hands it to each process that it starts.
+//! Takes over the listening socket for clients if the platform owns it and passes it to each process that it starts.
 
 use listenfd::ListenFd;
 use std::fmt;
 use std::net::TcpListener;
 
-/// Names the descriptor, as a number.
+/// The environment variable with the number of the descriptor.
 pub const DESCRIPTOR_VARIABLE: &str = "NODE_LISTEN_FD";
 
-/// Why a socket that was handed over can't be used.
+/// Why an inherited socket can't be used.
 #[derive(Debug)]
 pub struct InheritError(String);
 
@@ -19,25 +19,26 @@
 
 impl std::error::Error for InheritError {}
 
-/// Takes the socket of this descriptor over. Call it once, before there are threads.
+/// Takes over the socket of this descriptor. Call it only once and before any thread is started, because it sets
+/// environment variables.
 ///
 /// # Errors
-/// The descriptor is no listening TCP socket.
+/// The descriptor is not a listening TCP socket.
 pub fn take_listener(descriptor: &str) -> Result<TcpListener, InheritError> {
-    let fault = |what: String| InheritError(format!("{descriptor:?}: {what}"));
-    let number: u16 = descriptor.parse().map_err(|_| fault("is no number of a descriptor".into()))?;
-    // The library reads systemd's variables; the first number is its own addition to them.
+    let error = |reason: String| InheritError(format!("{descriptor:?}: {reason}"));
+    let number: u16 = descriptor.parse().map_err(|_| error("is no number of a descriptor".into()))?;
+    // `listenfd` reads the variables of systemd's socket activation; `LISTEN_FDS_FIRST_FD` is its own extension.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
     std::env::remove_var("LISTEN_PID");
-    let taken = ListenFd::from_env().take_tcp_listener(0).map_err(|e| fault(e.to_string()))?;
+    let listener = ListenFd::from_env().take_tcp_listener(0).map_err(|e| error(e.to_string()))?;
     std::env::remove_var("LISTEN_FDS");
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    let socket = taken.ok_or_else(|| fault("is not there".into()))?;
-    let listens = socket2::SockRef::from(&socket).is_listener().map_err(|e| fault(e.to_string()))?;
-    if !listens {
-        return Err(fault("is a connection, not a listening socket".into()));
+    let socket = listener.ok_or_else(|| error("is not open".into()))?;
+    let is_listening = socket2::SockRef::from(&socket).is_listener().map_err(|e| error(e.to_string()))?;
+    if !is_listening {
+        return Err(error("is a connection, not a listening socket".into()));
     }
-    socket.set_nonblocking(true).map_err(|e| fault(e.to_string()))?;
+    socket.set_nonblocking(true).map_err(|e| error(e.to_string()))?;
     Ok(socket)
 }
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a proxy: its configuration, lists of cache nodes, signals.
+//! What the platform provides to a proxy: its configuration, the lists of cache nodes, its listening socket, and signals.
 
 pub mod config;
 pub mod discovery;
--- a/crates/proxy/src/platform/signals.rs
+++ b/crates/proxy/src/platform/signals.rs
@@ -1,46 +1,49 @@
-//! Signals as sockets that become readable.
+//! Signals, delivered through sockets that become readable.
 
 use mio::net::UnixStream;
 use mio::{Interest, Registry, Token};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io::{self, Read};
 
-/// The signals that a proxy heeds.
+/// The signals that a proxy handles.
 #[derive(Debug)]
 pub struct Signals {
     terminate: UnixStream,
     hangup: UnixStream,
 }
 
-/// A socket that becomes readable when this signal arrives.
-fn pipe(signal: i32, registry: &Registry, token: Token) -> io::Result<UnixStream> {
-    let (mut read, raised) = UnixStream::pair()?;
-    signal_hook::low_level::pipe::register(signal, raised)?;
-    registry.register(&mut read, token, Interest::READABLE)?;
-    Ok(read)
+/// Returns a registered socket that becomes readable when the signal arrives.
+fn register_signal(signal: i32, registry: &Registry, token: Token) -> io::Result<UnixStream> {
+    let (mut receiver, sender) = UnixStream::pair()?;
+    signal_hook::low_level::pipe::register(signal, sender)?;
+    registry.register(&mut receiver, token, Interest::READABLE)?;
+    Ok(receiver)
 }
 
-/// Takes all that a signal's socket has.
-fn drain(mut pipe: &UnixStream) {
+/// Reads a signal's socket until it is empty.
+fn drain(mut socket: &UnixStream) {
     let mut bytes = [0; 16];
-    while pipe.read(&mut bytes).is_ok_and(|n| n > 0) {}
+    while socket.read(&mut bytes).is_ok_and(|n| n > 0) {}
 }
 
 impl Signals {
-    /// Heeds SIGTERM and SIGHUP from now on; each wakes the loop under its token.
+    /// Installs handlers for SIGTERM and SIGHUP. Each wakes the event loop under its token.
+    ///
+    /// # Errors
+    /// A socket can't be created or registered, or a handler can't be installed.
     pub fn listen(registry: &Registry, terminate: Token, hangup: Token) -> io::Result<Self> {
         Ok(Signals {
-            terminate: pipe(SIGTERM, registry, terminate)?,
-            hangup: pipe(SIGHUP, registry, hangup)?,
+            terminate: register_signal(SIGTERM, registry, terminate)?,
+            hangup: register_signal(SIGHUP, registry, hangup)?,
         })
     }
 
-    /// SIGTERM has been seen.
+    /// Clears the readiness of SIGTERM.
     pub fn clear_terminate(&self) {
         drain(&self.terminate);
     }
 
-    /// SIGHUP has been seen.
+    /// Clears the readiness of SIGHUP.
     pub fn clear_hangup(&self) {
         drain(&self.hangup);
     }
