--- a/crates/proxy/src/boxes/settings.rs
+++ b/crates/proxy/src/boxes/settings.rs
@@ -28,7 +28,7 @@
     Ok(options.resp3.then_some(bytes))
 }
 
-/// The pipeline limits of the operator's file, checked against the platform's bounds. Without other settings a
+/// The pipeline configuration of the operator's file, checked against the platform's bounds. Without other settings a
 /// connection carries one command at a time.
 ///
 /// Replies are matched to commands by order alone, and cache nodes may send unsolicited bytes right behind a valid
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// One line for each key that exceeds its bound, with the key, its value and the bound.
-pub fn pipeline_limits(options: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
+pub fn pipeline_config(options: &operator::Pipeline, config: &Config) -> Result<PipelineConfig, String> {
     let max_depth = config.max_streams;
     let bound_error = |(key, depth): &(&str, Option<usize>)| {
         let depth = depth.filter(|d| *d > max_depth)?;
@@ -51,11 +51,15 @@
     let depth = |configured: Option<usize>| configured.filter(|_| options.enabled).unwrap_or(1);
     let depth = [depth(options.reads), depth(options.writes)];
     // A settle delay before the first command is useless where further commands follow without one.
-    let settle_delay = options.rest_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
+    let settle_delay = options.settle_delay_ms.map(|ms| ms * MS).or((depth != [1, 1]).then_some(0));
     Ok(PipelineConfig {
-        placement: if options.expected { PlacementPolicy::Expected } else { PlacementPolicy::Fixed },
+        placement: if options.expected_placement {
+            PlacementPolicy::Expected
+        } else {
+            PlacementPolicy::Fixed
+        },
         max_depth: depth,
-        separate_kinds: options.apart,
+        separate_kinds: options.separate_kinds,
         head_quantile: options.head_quantile,
         handshake_cost: options.handshake_cost,
         settle_delay: SettleDelay::new(settle_delay),
--- a/crates/proxy/src/front/control.rs
+++ b/crates/proxy/src/front/control.rs
@@ -5,7 +5,7 @@
 //! controller that sends requests in a tight loop the endpoint responds slowly, but the service to clients does not.
 
 use calicosaddle::api::Nanos;
-use control::message::{line, Body, Code, Error, Status};
+use control::message::{encode_line, Body, Code, Error, Status};
 use control::{Decoder, Op, Reply, Request, State, MAX_REPLY, MAX_REQUEST, VERSION};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -326,14 +326,14 @@
                     peer.queue.extend(frame);
                 }
                 Err(too_long) => {
-                    let message = format!("the frame is longer than {} bytes", too_long.most);
+                    let message = format!("the frame is longer than {} bytes", too_long.limit);
                     peer.closing = true;
                     self.error(key, String::new(), Error::new(Code::BadFrame, message), now);
                     return;
                 }
             }
         }
-        peer.partial_since = peer.decoder.midway().then_some(peer.partial_since.unwrap_or(now));
+        peer.partial_since = peer.decoder.has_partial_frame().then_some(peer.partial_since.unwrap_or(now));
     }
 
     /// Sends a reply to a request.
@@ -344,7 +344,7 @@
             peer.closing = true;
             peer.queue.clear();
         }
-        peer.output.extend(line(&Reply { v: VERSION, id, body }));
+        peer.output.extend(encode_line(&Reply { v: VERSION, id, body }));
         self.flush(key, now);
     }
 
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -9,10 +9,12 @@
 use crate::platform::config::Config;
 use crate::shadow_traffic::ShadowTraffic;
 use crate::{Proxy, MS};
+use ::control::message::{
+    Answer, Body, Code, Error, KnownList, List, Page, Phase, Reconfigured, Status, MAX_PAGE,
+};
+use ::control::state::should_apply;
+use ::control::{Op, Request, State, MAX_REPLY};
 use calicosaddle::api::{server_id, Event, Nanos, ServerId};
-use control::message::{Answer, Body, Code, Error, Known, List, Page, Phase, Reconfigured, Status, MAX_PAGE};
-use control::state::follows;
-use control::{Op, Request, State, MAX_REPLY};
 use serde_json::{json, Value};
 
 /// The assumed size of a listed host in a reply, in bytes.
@@ -90,11 +92,11 @@
                 let (boxes, more) = self.boxes.status_page(&after, limit, false, zones, self.event_loop.now);
                 return Ok(Answer::Boxes(Page { boxes, more }));
             }
-            Op::List => return Ok(Answer::Known(Known { known: self.known_list() })),
+            Op::List => return Ok(Answer::KnownList(KnownList { known: self.known_list() })),
             Op::Drain => self.drain()?,
             Op::Undrain => self.undrain()?,
-            Op::DrainBox { name } => self.store_state(state.with_box(&name, true)?)?,
-            Op::UndrainBox { name } => self.store_state(state.with_box(&name, false)?)?,
+            Op::DrainBox { name } => self.store_state(state.with_box_drained(&name, true)?)?,
+            Op::UndrainBox { name } => self.store_state(state.with_box_drained(&name, false)?)?,
             Op::SetDrained { revision, boxes } => self.store_state(state.with_drained(revision, boxes)?)?,
             Op::ShadowStart { generation, lease_ms } => {
                 return self.run_shadow_order(|c, now| c.start(generation, lease_ms, now))
@@ -131,7 +133,7 @@
         self.update_candidates();
         self.persist_shadow_state();
         let copies = self.shadow_traffic.as_ref().map(|c| c.copying(&self.config.classes));
-        copies.map(|c| Answer::Copying(Box::new(c))).ok_or_else(|| Error::new(Code::Stopping, "it ends"))
+        copies.map(|c| Answer::Shadow(Box::new(c))).ok_or_else(|| Error::new(Code::Stopping, "it ends"))
     }
 
     // ---- drains ----
@@ -191,7 +193,7 @@
         self.boxes.check_config(&new).map_err(|e| Error::new(Code::BadConfig, e))?;
         let (changes, needs_restart) = self.config.changes(&new);
         let is_unchanged = changes.is_empty() && needs_restart.is_empty();
-        let is_next = follows("generation", self.config.generation, generation, is_unchanged)?;
+        let is_next = should_apply("generation", self.config.generation, generation, is_unchanged)?;
         let is_applicable = needs_restart.is_empty();
         if is_applicable && is_next && !dry_run {
             let (address_changed, settings_changed) =
