--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -1,6 +1,6 @@
-//! The agent's API: HTTP/1.1 and JSON, over a Unix-domain socket, and over TCP for who has the token.
+//! The agent's API: HTTP/1.1 and JSON over a Unix-domain socket, and over TCP with a token.
 
-use crate::host::{Message, Order, ShadowOrder};
+use crate::host::{FleetCommand, Message, ShadowCommand};
 use fleet::Rejection;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -19,255 +19,265 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 
-/// The longest body of a request.
-const MAX_BODY: usize = 16 << 20;
-/// Connections at once, over each of the two ways.
-const CONNECTIONS: usize = 64;
-/// A request's head must come within this, and its body too.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// After an error, or with all places taken, the listener rests for so long.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The longest that a watch waits.
-const WATCH: Duration = Duration::from_secs(60);
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Maximum number of open connections of each listener.
+const MAX_CONNECTIONS: usize = 64;
+/// Time within which the head of a request must arrive, and then its body.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay of a listener after an error of accept, or while all connections are in use.
+const ACCEPT_DELAY: Duration = Duration::from_millis(20);
+/// Maximum time that a watch request waits for a change.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 
-/// What the API needs of the agent.
+/// Connects the API to the host.
 #[derive(Clone)]
 pub struct Api {
-    /// The host.
+    /// Channel to the host.
     pub messages: mpsc::UnboundedSender<Message>,
-    /// Counts what is seen.
+    /// Counter of the changes of the observed state.
     pub changed: watch::Receiver<u64>,
 }
 
-/// A write.
+/// Body of `POST /v1/operations`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Write {
+struct WriteRequest {
     id: String,
     base: u64,
     #[serde(default)]
     force: bool,
     #[serde(default)]
     dry_run: bool,
-    command: Order,
+    command: FleetCommand,
 }
 
-type Answer = (StatusCode, Value);
+type ApiResponse = (StatusCode, Value);
 
-fn error(status: StatusCode, code: &str, message: impl Into<String>) -> Answer {
+fn error_response(status: StatusCode, code: &str, message: impl Into<String>) -> ApiResponse {
     (status, json!({"error": {"code": code, "message": message.into()}}))
 }
 
-/// Same length and content, in a time that does not tell where they differ.
-fn same(a: &[u8], b: &[u8]) -> bool {
-    a.len() == b.len() && a.iter().zip(b).fold(0, |d, (x, y)| d | (x ^ y)) == 0
+/// Compares in a time that does not depend on where the content differs.
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
+    a.len() == b.len() && a.iter().zip(b).fold(0, |difference, (x, y)| difference | (x ^ y)) == 0
 }
 
-/// The connections of a listener. Guards against users that connect and say nothing: when all places are taken,
-/// the one that has waited for its first request for longest makes room. Danger: with all places asking, the next
-/// one waits.
+/// The open connections of a listener. When all are in use, the oldest one that has not sent a request yet is closed,
+/// so that idle clients can't block others. If all have sent a request, the next client waits.
 #[derive(Default)]
-struct Places {
-    all: VecDeque<(AbortHandle, Arc<AtomicBool>)>,
+struct ConnectionPool {
+    connections: VecDeque<(AbortHandle, Arc<AtomicBool>)>,
 }
 
-impl Places {
-    /// Runs a connection, once there is a place.
-    async fn take<F: Future<Output = ()> + Send + 'static>(
+impl ConnectionPool {
+    /// Serves a connection as soon as the limit allows it.
+    async fn run<F: Future<Output = ()> + Send + 'static>(
         &mut self,
-        run: impl FnOnce(Arc<AtomicBool>) -> F,
+        serve: impl FnOnce(Arc<AtomicBool>) -> F,
     ) {
-        while self.all.len() >= CONNECTIONS {
-            self.all.retain(|(task, _)| !task.is_finished());
-            let silent = self.all.iter().position(|(_, asked)| !asked.load(Ordering::Relaxed));
-            match silent.and_then(|at| self.all.remove(at)) {
+        while self.connections.len() >= MAX_CONNECTIONS {
+            self.connections.retain(|(task, _)| !task.is_finished());
+            let idle =
+                self.connections.iter().position(|(_, has_request)| !has_request.load(Ordering::Relaxed));
+            match idle.and_then(|at| self.connections.remove(at)) {
                 Some((task, _)) => task.abort(),
-                None if self.all.len() >= CONNECTIONS => tokio::time::sleep(PAUSE).await,
+                None if self.connections.len() >= MAX_CONNECTIONS => tokio::time::sleep(ACCEPT_DELAY).await,
                 None => {}
             }
         }
-        let asked = Arc::<AtomicBool>::default();
-        let task = tokio::spawn(run(asked.clone())).abort_handle();
-        self.all.push_back((task, asked));
+        let has_request = Arc::<AtomicBool>::default();
+        let task = tokio::spawn(serve(has_request.clone())).abort_handle();
+        self.connections.push_back((task, has_request));
     }
 }
 
 impl Api {
-    /// Serves a Unix-domain socket to those users.
-    pub async fn unix(self, listener: UnixListener, uids: Vec<u32>) {
-        let mut places = Places::default();
+    /// Serves a Unix-domain socket to the users with these ids.
+    pub async fn serve_unix(self, listener: UnixListener, uids: Vec<u32>) {
+        let mut pool = ConnectionPool::default();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) if stream.peer_cred().is_ok_and(|c| uids.contains(&c.uid())) => {
-                    places.take(|asked| self.clone().connection(stream, None, asked)).await;
+                    pool.run(|has_request| self.clone().serve_connection(stream, None, has_request)).await;
                 }
                 Ok(_) => {}
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_DELAY).await,
             }
         }
     }
 
-    /// Serves TCP to who has the token.
-    pub async fn tcp(self, listener: TcpListener, token: Arc<str>) {
-        let mut places = Places::default();
+    /// Serves TCP to clients that send the token.
+    pub async fn serve_tcp(self, listener: TcpListener, token: Arc<str>) {
+        let mut pool = ConnectionPool::default();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let token = Some(token.clone());
-                    places.take(|asked| self.clone().connection(stream, token, asked)).await;
+                    pool.run(|has_request| self.clone().serve_connection(stream, token, has_request)).await;
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_DELAY).await,
             }
         }
     }
 
-    async fn connection<S: AsyncRead + AsyncWrite + Unpin + Send + 'static>(
+    async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin + Send + 'static>(
         self,
         stream: S,
         token: Option<Arc<str>>,
-        asked: Arc<AtomicBool>,
+        has_request: Arc<AtomicBool>,
     ) {
         let service = hyper::service::service_fn(move |request| {
-            asked.store(true, Ordering::Relaxed);
+            has_request.store(true, Ordering::Relaxed);
             let (api, token) = (self.clone(), token.clone());
             async move {
-                let (status, body) = api.request(request, token.as_deref()).await;
+                let (status, body) = api.handle_request(request, token.as_deref()).await;
                 let response = Response::builder().status(status).header(CONTENT_TYPE, "application/json");
                 response.body(Full::new(Bytes::from(body.to_string() + "\n")))
             }
         });
-        // What goes wrong with a connection concerns its client alone.
+        // An error of a connection affects only its client.
         let _ = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(PATIENCE)
+            .header_read_timeout(READ_TIMEOUT)
             .max_buf_size(64 << 10)
             .serve_connection(TokioIo::new(stream), service)
             .await;
     }
 
-    async fn request(&self, request: Request<Incoming>, token: Option<&str>) -> Answer {
+    async fn handle_request(&self, request: Request<Incoming>, token: Option<&str>) -> ApiResponse {
         if let Some(token) = token {
-            let told = request.headers().get(AUTHORIZATION).map(|v| v.as_bytes()).unwrap_or_default();
-            if !same(told, format!("Bearer {token}").as_bytes()) {
-                return error(StatusCode::UNAUTHORIZED, "token", "the token is missing or wrong");
+            let credentials = request.headers().get(AUTHORIZATION).map(|v| v.as_bytes()).unwrap_or_default();
+            if !constant_time_eq(credentials, format!("Bearer {token}").as_bytes()) {
+                return error_response(StatusCode::UNAUTHORIZED, "token", "the token is missing or wrong");
             }
         }
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
-        let steps: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        match (request.method(), &steps[..]) {
-            (&Method::GET, ["v1", "fleet"]) => self.ask(Message::Fleet).await,
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match (request.method(), &segments[..]) {
+            (&Method::GET, ["v1", "fleet"]) => self.query(Message::Fleet).await,
             (&Method::GET, ["v1", "watch"]) => self.watch(&query).await,
             (&Method::GET, ["v1", "instances", name]) => {
                 let name = (*name).to_owned();
-                self.find(|to| Message::Inspect(name, to), "no such instance").await
+                self.query_one(|sender| Message::Inspect(name, sender), "no such instance").await
             }
             (&Method::GET, ["v1", "operations", id]) => {
                 let id = (*id).to_owned();
-                self.find(|to| Message::Operation(id, to), "no such operation, or it is long over").await
+                self.query_one(
+                    |sender| Message::Operation(id, sender),
+                    "no such operation, or it is no longer remembered",
+                )
+                .await
             }
             (&Method::POST, ["v1", "operations"]) => self.write(request).await,
             (&Method::POST, ["v1", "shadow"]) => self.shadow(request).await,
             (
                 _,
                 ["v1", "fleet" | "watch" | "operations" | "shadow"] | ["v1", "instances" | "operations", _],
-            ) => error(
+            ) => error_response(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "method",
                 "GET reads, POST /v1/operations and /v1/shadow write",
             ),
-            _ => error(StatusCode::NOT_FOUND, "path", format!("there is no {path}")),
+            _ => error_response(StatusCode::NOT_FOUND, "path", format!("unknown path {path}")),
         }
     }
 
-    async fn ask(&self, message: impl FnOnce(oneshot::Sender<Value>) -> Message) -> Answer {
-        let (to, answer) = oneshot::channel();
-        let _ = self.messages.send(message(to));
-        match answer.await {
+    async fn query(&self, message: impl FnOnce(oneshot::Sender<Value>) -> Message) -> ApiResponse {
+        let (sender, receiver) = oneshot::channel();
+        let _ = self.messages.send(message(sender));
+        match receiver.await {
             Ok(value) => (StatusCode::OK, value),
-            Err(_) => error(StatusCode::SERVICE_UNAVAILABLE, "stopping", "the agent is about to end"),
+            Err(_) => error_response(StatusCode::SERVICE_UNAVAILABLE, "stopping", "the agent is stopping"),
         }
     }
 
-    async fn find(
+    async fn query_one(
         &self,
         message: impl FnOnce(oneshot::Sender<Option<Value>>) -> Message,
-        none: &str,
-    ) -> Answer {
-        let (to, answer) = oneshot::channel();
-        let _ = self.messages.send(message(to));
-        match answer.await {
+        not_found: &str,
+    ) -> ApiResponse {
+        let (sender, receiver) = oneshot::channel();
+        let _ = self.messages.send(message(sender));
+        match receiver.await {
             Ok(Some(value)) => (StatusCode::OK, value),
-            Ok(None) => error(StatusCode::NOT_FOUND, "unknown", none),
-            Err(_) => error(StatusCode::SERVICE_UNAVAILABLE, "stopping", "the agent is about to end"),
+            Ok(None) => error_response(StatusCode::NOT_FOUND, "unknown", not_found),
+            Err(_) => error_response(StatusCode::SERVICE_UNAVAILABLE, "stopping", "the agent is stopping"),
         }
     }
 
-    /// Waits until something other than what `after` counts is seen.
-    async fn watch(&self, query: &str) -> Answer {
-        let number = |name: &str| -> Option<u64> {
+    /// Returns the state of the fleet once the change counter differs from `after`, or after a time-out.
+    async fn watch(&self, query: &str) -> ApiResponse {
+        let parameter = |name: &str| -> Option<u64> {
             query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
         let mut changed = self.changed.clone();
-        if let Some(after) = number("after") {
-            let wait = number("timeout_ms").map_or(WATCH, Duration::from_millis).min(WATCH);
-            let _ = tokio::time::timeout(wait, changed.wait_for(|n| *n != after)).await;
+        if let Some(after) = parameter("after") {
+            let timeout =
+                parameter("timeout_ms").map_or(MAX_WATCH_TIME, Duration::from_millis).min(MAX_WATCH_TIME);
+            let _ = tokio::time::timeout(timeout, changed.wait_for(|n| *n != after)).await;
         }
-        let now = *changed.borrow();
-        let (status, fleet) = self.ask(Message::Fleet).await;
-        (status, json!({"change": now, "fleet": fleet}))
+        let change = *changed.borrow();
+        let (status, fleet) = self.query(Message::Fleet).await;
+        (status, json!({"change": change, "fleet": fleet}))
     }
 
-    /// The body of a request.
-    async fn body<T: serde::de::DeserializeOwned>(request: Request<Incoming>) -> Result<T, Answer> {
-        let body = Limited::new(request.into_body(), MAX_BODY).collect();
-        let body = match tokio::time::timeout(PATIENCE, body).await {
+    /// Reads and parses the body of a request.
+    async fn read_body<T: serde::de::DeserializeOwned>(request: Request<Incoming>) -> Result<T, ApiResponse> {
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
+        let body = match tokio::time::timeout(READ_TIMEOUT, body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                let message = format!("over {MAX_BODY} bytes, or not whole");
-                return Err(error(StatusCode::PAYLOAD_TOO_LARGE, "body", message));
+                let message = format!("the body is longer than {MAX_BODY_BYTES} bytes or incomplete");
+                return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, "body", message));
             }
             Err(_) => {
-                return Err(error(StatusCode::REQUEST_TIMEOUT, "body", "the body did not come in time"))
+                return Err(error_response(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "body",
+                    format!("the body did not arrive within {} s", READ_TIMEOUT.as_secs()),
+                ))
             }
         };
-        serde_json::from_slice(&body).map_err(|e| error(StatusCode::BAD_REQUEST, "invalid", e.to_string()))
+        serde_json::from_slice(&body)
+            .map_err(|e| error_response(StatusCode::BAD_REQUEST, "invalid", e.to_string()))
     }
 
-    async fn shadow(&self, request: Request<Incoming>) -> Answer {
-        let order: ShadowOrder = match Api::body(request).await {
-            Ok(order) => order,
-            Err(answer) => return answer,
+    async fn shadow(&self, request: Request<Incoming>) -> ApiResponse {
+        let command: ShadowCommand = match Api::read_body(request).await {
+            Ok(command) => command,
+            Err(response) => return response,
         };
-        let (answer, answered) = oneshot::channel();
-        let _ = self.messages.send(Message::Shadow(order, answer));
-        Api::done(answered).await
+        let (answer, receiver) = oneshot::channel();
+        let _ = self.messages.send(Message::Shadow(command, answer));
+        Api::command_response(receiver).await
     }
 
-    async fn write(&self, request: Request<Incoming>) -> Answer {
-        let write: Write = match Api::body(request).await {
+    async fn write(&self, request: Request<Incoming>) -> ApiResponse {
+        let write: WriteRequest = match Api::read_body(request).await {
             Ok(write) => write,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
-        let (answer, answered) = oneshot::channel();
-        let Write { id, base, force, dry_run, command: order } = write;
-        let _ = self.messages.send(Message::Submit { id, base, force, dry_run, order, answer });
-        Api::done(answered).await
+        let (answer, receiver) = oneshot::channel();
+        let WriteRequest { id, base, force, dry_run, command } = write;
+        let _ = self.messages.send(Message::Submit { id, base, force, dry_run, command, answer });
+        Api::command_response(receiver).await
     }
 
-    /// What became of an order.
-    async fn done(answered: oneshot::Receiver<Result<Value, Rejection>>) -> Answer {
-        match answered.await {
-            Ok(Ok(done)) => (StatusCode::OK, done),
+    /// Waits for the result of a command.
+    async fn command_response(receiver: oneshot::Receiver<Result<Value, Rejection>>) -> ApiResponse {
+        match receiver.await {
+            Ok(Ok(result)) => (StatusCode::OK, result),
             Ok(Err(e)) => {
                 let (status, code) = match &e {
                     Rejection::Conflict { .. } => (StatusCode::CONFLICT, "conflict"),
                     Rejection::Invalid(_) => (StatusCode::BAD_REQUEST, "invalid"),
                     Rejection::Unsafe(_) => (StatusCode::UNPROCESSABLE_ENTITY, "unsafe"),
                 };
-                error(status, code, e.to_string())
+                error_response(status, code, e.to_string())
             }
-            Err(_) => error(StatusCode::SERVICE_UNAVAILABLE, "stopping", "the agent is about to end"),
+            Err(_) => error_response(StatusCode::SERVICE_UNAVAILABLE, "stopping", "the agent is stopping"),
         }
     }
 }
--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -1,9 +1,10 @@
-//! Carries out what the fleet's choices say: files, processes, contact. One task; all else sends it messages.
+//! Carries out the actions of the fleet's state machine on files, processes and control connections. The host runs as
+//! one task; all other tasks send it messages.
 
 use crate::journal::{Journal, JournalError};
-use crate::link::{self, Ask, Heard};
+use crate::link::{self, ContactEvent, ControlRequest};
 use crate::process::Process;
-use control::message::{Answer as Told, Page, Phase, Status};
+use control::message::{Answer as ControlAnswer, Page, Phase, Status};
 use control::{Op, State};
 use fleet::plan::{is_valid_name, DesiredInstance};
 use fleet::{Action, Command, Event, Fleet, Millis, Policy, Rejection, Report, Request, Response};
@@ -17,157 +18,167 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// A lease for copies of reads, and how often it is renewed.
-const LEASE: Duration = Duration::from_secs(10);
-const RENEW: Duration = Duration::from_secs(3);
-/// The longest that copying is kept up, in milliseconds.
-const LONGEST_COPYING_MS: u64 = 7 * 24 * 3_600 * 1_000;
-/// An instance has so long to answer.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// How often time passes for the fleet's choices.
-const TICK: Duration = Duration::from_millis(50);
-
-/// A command as it comes over the API: configurations whole.
+/// Lease of shadow traffic on an instance.
+const SHADOW_LEASE: Duration = Duration::from_secs(10);
+/// Interval at which the lease is renewed.
+const SHADOW_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
+/// Maximum duration of shadow traffic.
+const MAX_SHADOW_DURATION_MS: u64 = 7 * 24 * 3_600 * 1_000;
+/// Time within which an instance must respond to a control request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of [`Event::Tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum length of the path of a Unix-domain socket: the kernel's 108 bytes include a terminating zero.
+const MAX_SOCKET_PATH_BYTES: usize = 107;
+const MAX_OPERATION_ID_BYTES: usize = 128;
+
+/// A command as submitted over the API. An `apply` command contains the whole configurations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Order {
-    /// The whole fleet.
-    Apply(Box<Desired>),
+pub enum FleetCommand {
+    /// Replaces the whole fleet by that of a fleet file.
+    Apply(Box<FleetFile>),
     /// Any other command.
     #[serde(untagged)]
     Plain(Command),
 }
 
-/// A fleet's file.
+/// Content of a fleet file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Desired {
-    /// The instances by their names.
-    pub instances: BTreeMap<String, Instance>,
-    /// Bounds of changes.
+pub struct FleetFile {
+    /// Instances by name.
+    pub instances: BTreeMap<String, InstanceFile>,
+    /// Limits on the speed of changes.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// An instance of a fleet's file.
+/// An instance of a fleet file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Instance {
-    /// Its zone, for the policy's bounds.
+pub struct InstanceFile {
+    /// Zone; the policy limits unavailable instances by zone.
     pub zone: String,
-    /// Its configuration, as NODE_CONFIG has it. `name` is set, `known` and `generation` are the agent's.
+    /// Configuration in the format of the file named by `NODE_CONFIG`. The agent sets `name`, `known` and `generation`.
     pub config: Value,
 }
 
 /// A message to the host.
 #[derive(Debug)]
 pub enum Message {
-    /// A contact heard something.
-    Heard(String, u32, Heard),
-    /// An endpoint answered a request of the fleet's.
-    Answered(String, u32, Option<Response>),
-    /// A command, and where what became of it goes.
+    /// An event of the control connection to the process with this id of an instance.
+    Contact(String, u32, ContactEvent),
+    /// Response of the process with this id to a request of the fleet; `None` if the connection was lost.
+    Responded(String, u32, Option<Response>),
+    /// Submits a command.
     Submit {
-        /// Its id.
+        /// Operation id.
         id: String,
-        /// The generation that it was decided on.
+        /// Generation of the fleet on which the command is based.
         base: u64,
-        /// Do it though it does harm.
+        /// Accept the command even if it interrupts service.
         force: bool,
-        /// Only say what would be.
+        /// Only report the changes that the command would make.
         dry_run: bool,
-        /// What.
-        order: Order,
-        /// Its generation, and for a dry run what it would change.
+        /// The command.
+        command: FleetCommand,
+        /// Receives the new generation and the changes.
         answer: oneshot::Sender<Result<Value, Rejection>>,
     },
-    /// How an operation stands.
+    /// Requests the status of an operation.
     Operation(String, oneshot::Sender<Option<Value>>),
-    /// The whole state.
+    /// Requests the state of the whole fleet.
     Fleet(oneshot::Sender<Value>),
-    /// One instance with its boxes.
+    /// Requests the state of one instance with its boxes.
     Inspect(String, oneshot::Sender<Option<Value>>),
-    /// Copies of reads to candidates, and where what the instances say of it goes.
-    Shadow(ShadowOrder, oneshot::Sender<Result<Value, Rejection>>),
-    /// End the agent; the instances run on.
+    /// Controls shadow traffic and requests the responses of the instances.
+    Shadow(ShadowCommand, oneshot::Sender<Result<Value, Rejection>>),
+    /// Stops the agent; the instances keep running.
     Stop,
 }
 
-/// What can be asked of copies of reads: of the named instances, or of all.
+/// A command for shadow traffic, which copies reads to candidate nodes. It applies to the named instances, or to all.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum ShadowOrder {
-    /// Copy for so long. The agent renews a short lease meanwhile: without it, copying ends by itself.
+pub enum ShadowCommand {
+    /// Starts copying. The agent renews a short lease, so that copying stops if the agent dies.
     Start {
-        /// Number of this order; later ones are greater.
+        /// Generation of this command, which must increase with each command.
         generation: u64,
-        /// How long, in milliseconds.
+        /// Duration in milliseconds.
         for_ms: u64,
-        /// Instances.
+        /// Names of the instances; all if absent.
         #[serde(default)]
         names: Option<Vec<String>>,
     },
-    /// Copy no more.
+    /// Stops copying.
     Stop {
-        /// Number of this order.
+        /// Generation of this command.
         generation: u64,
-        /// Instances.
+        /// Names of the instances; all if absent.
         #[serde(default)]
         names: Option<Vec<String>>,
     },
-    /// How it stands, and what it shows.
+    /// Requests the status and the results.
     Status {
-        /// Instances.
+        /// Names of the instances; all if absent.
         #[serde(default)]
         names: Option<Vec<String>>,
     },
 }
 
-/// Copying that the agent keeps up. It is not written down: an agent that dies lets it end.
-struct Copying {
+/// Shadow traffic whose lease the agent renews. It is not journaled, so it stops when the agent dies.
+struct ShadowLease {
     generation: u64,
-    until: Instant,
+    ends_at: Instant,
     names: Vec<String>,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
-struct Running {
+type ControlResult = Result<ControlAnswer, control::Error>;
+type ResolvedShadow = (Op, Vec<String>, Option<(u64, Duration)>);
+
+/// A running instance and its control connection.
+struct RunningInstance {
     process: Process,
-    asks: mpsc::Sender<Ask>,
+    requests: mpsc::Sender<ControlRequest>,
     status: Option<Box<Status>>,
-    heard: Instant,
+    last_contact: Instant,
 }
 
-/// The host.
+/// Carries out the actions of a [`Fleet`] in the folder of one agent.
 pub struct Host {
     folder: PathBuf,
     program: PathBuf,
     journal: Journal,
     fleet: Fleet,
-    running: BTreeMap<String, Running>,
-    /// Each instance's last list, and the version of the one that the fleet was told.
-    known: BTreeMap<String, Value>,
-    boxes_from: u64,
-    copying: Option<Copying>,
+    running: BTreeMap<String, RunningInstance>,
+    /// Last list of boxes of each instance.
+    box_lists: BTreeMap<String, Value>,
+    /// Version of the list that was last passed to the fleet.
+    box_list_version: u64,
+    shadow_lease: Option<ShadowLease>,
     started: Instant,
     messages: mpsc::UnboundedSender<Message>,
     changed: watch::Sender<u64>,
 }
 
-fn replace(path: &Path, bytes: &[u8], sync: bool) -> io::Result<()> {
-    let new = path.with_extension("new");
-    fs::write(&new, bytes)?;
+/// Replaces a file atomically; with `sync`, the content is on disk before the file is renamed.
+fn replace_file(path: &Path, bytes: &[u8], sync: bool) -> io::Result<()> {
+    let new_path = path.with_extension("new");
+    fs::write(&new_path, bytes)?;
     if sync {
-        fs::File::open(&new)?.sync_all()?;
+        fs::File::open(&new_path)?.sync_all()?;
     }
-    fs::rename(&new, path)
+    fs::rename(&new_path, path)
 }
 
 impl Host {
-    /// Opens the folder and its journal, and finds the instances that run. `changed` counts what is seen.
+    /// Opens the folder and its journal. `changed` is incremented with each change of the observed state.
     ///
     /// # Errors
-    /// The journal can't be used.
+    /// The folder can't be created, or the journal can't be read or written.
     pub fn open(
         folder: PathBuf,
         program: PathBuf,
@@ -176,18 +187,18 @@
     ) -> Result<Host, Box<dyn std::error::Error>> {
         fs::create_dir_all(folder.join("instances"))?;
         let (journal, plan) = Journal::open(&folder.join("journal"))?;
-        let known = plan.instances.keys().filter_map(|name| {
+        let box_lists = plan.instances.keys().filter_map(|name| {
             let text = fs::read(folder.join("instances").join(name).join("known.json")).ok()?;
             Some((name.clone(), serde_json::from_slice(&text).ok()?))
         });
-        let known = known.collect();
+        let box_lists = box_lists.collect();
         Ok(Host {
             fleet: Fleet::new(plan),
             journal,
             running: BTreeMap::new(),
-            known,
-            boxes_from: 0,
-            copying: None,
+            box_lists,
+            box_list_version: 0,
+            shadow_lease: None,
             started: Instant::now(),
             folder,
             program,
@@ -200,93 +211,95 @@
         self.started.elapsed().as_millis() as Millis
     }
 
-    fn place(&self, name: &str) -> PathBuf {
+    fn instance_dir(&self, name: &str) -> PathBuf {
         self.folder.join("instances").join(name)
     }
 
-    fn config(&self, name: &str, generation: u64) -> PathBuf {
-        self.place(name).join(format!("config-{generation}.json"))
+    fn config_path(&self, name: &str, generation: u64) -> PathBuf {
+        self.instance_dir(name).join(format!("config-{generation}.json"))
     }
 
-    /// Runs until it is told to stop.
+    /// Runs until [`Message::Stop`] is received.
     ///
     /// # Errors
-    /// The journal can't be written: the agent must not go on, the instances do.
+    /// The journal can't be written. The agent must then stop; the instances keep running.
     pub async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) -> Result<(), JournalError> {
         for (name, process) in Process::find(&self.folder) {
             self.adopt(name, process)?;
         }
-        let known: Vec<Value> = self.known.values().cloned().collect();
-        known.iter().for_each(|k| self.boxes(k));
-        let mut tick = tokio::time::interval(TICK);
+        let box_lists: Vec<Value> = self.box_lists.values().cloned().collect();
+        box_lists.iter().for_each(|list| self.update_boxes(list));
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
                     None | Some(Message::Stop) => return Ok(()),
-                    Some(message) => self.take(message)?,
+                    Some(message) => self.handle_message(message)?,
                 },
                 _ = tick.tick() => {
-                    self.look()?;
-                    self.renew();
-                    self.event(Event::Tick)?;
+                    self.reap_exited()?;
+                    self.renew_shadow_lease();
+                    self.handle_event(Event::Tick)?;
                 }
             }
         }
     }
 
-    /// Looks which processes have ended: one call for all of them.
-    fn look(&mut self) -> Result<(), JournalError> {
-        let ended = Process::ended(self.running.values().map(|r| &r.process));
+    /// Reports processes that have exited; one system call polls all of them.
+    fn reap_exited(&mut self) -> Result<(), JournalError> {
+        let exited = Process::exited(self.running.values().map(|r| &r.process));
         let names: Vec<String> = self.running.keys().cloned().collect();
-        for (name, _) in names.into_iter().zip(ended).filter(|(_, ended)| *ended) {
+        for (name, _) in names.into_iter().zip(exited).filter(|(_, exited)| *exited) {
             if let Some(mut running) = self.running.remove(&name) {
-                let reason = running.process.end();
-                eprintln!("{name}: process {} ended: {reason}", running.process.pid);
-                self.event(Event::Exited { name, reason })?;
+                let reason = running.process.wait();
+                eprintln!("{name}: process {} exited: {reason}", running.process.pid);
+                self.handle_event(Event::Exited { name, reason })?;
                 self.changed.send_modify(|n| *n += 1);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, message: Message) -> Result<(), JournalError> {
-        let current =
+    fn handle_message(&mut self, message: Message) -> Result<(), JournalError> {
+        let is_current =
             |host: &Host, name: &str, pid: u32| host.running.get(name).is_some_and(|r| r.process.pid == pid);
         match message {
-            Message::Heard(name, pid, heard) if current(self, &name, pid) => self.heard(name, heard)?,
-            Message::Answered(name, pid, answer) if current(self, &name, pid) => {
-                self.event(match answer {
+            Message::Contact(name, pid, event) if is_current(self, &name, pid) => {
+                self.handle_contact(name, event)?
+            }
+            Message::Responded(name, pid, response) if is_current(self, &name, pid) => {
+                self.handle_event(match response {
                     Some(response) => Event::Responded { name, response },
                     None => Event::ContactLost { name },
                 })?
             }
-            Message::Heard(..) | Message::Answered(..) | Message::Stop => {}
-            Message::Submit { id, base, force, dry_run, order, answer } => {
-                let done = self.submit(&id, base, force, dry_run, order)?;
-                let _ = answer.send(done);
+            Message::Contact(..) | Message::Responded(..) | Message::Stop => {}
+            Message::Submit { id, base, force, dry_run, command, answer } => {
+                let result = self.submit(&id, base, force, dry_run, command)?;
+                let _ = answer.send(result);
             }
             Message::Operation(id, answer) => {
                 let state = self.fleet.operation_status(&id).map(|s| json!({"id": id, "state": s}));
                 let _ = answer.send(state);
             }
             Message::Fleet(answer) => {
-                let _ = answer.send(self.describe());
+                let _ = answer.send(self.describe_fleet());
             }
             Message::Inspect(name, answer) => self.inspect(&name, answer),
-            Message::Shadow(order, answer) => self.shadow(order, answer),
+            Message::Shadow(command, answer) => self.shadow(command, answer),
         }
         self.changed.send_modify(|n| *n += 1);
         Ok(())
     }
 
-    fn event(&mut self, event: Event) -> Result<(), JournalError> {
+    fn handle_event(&mut self, event: Event) -> Result<(), JournalError> {
         let mut actions = Vec::new();
         self.fleet.handle(self.now(), event, &mut actions);
-        self.act(actions)
+        self.carry_out(actions)
     }
 
-    fn act(&mut self, actions: Vec<Action>) -> Result<(), JournalError> {
+    fn carry_out(&mut self, actions: Vec<Action>) -> Result<(), JournalError> {
         for action in actions {
             match action {
                 Action::WriteJournal(records) => {
@@ -295,48 +308,54 @@
                     self.changed.send_modify(|n| *n += 1);
                 }
                 Action::Start { name, generation, incarnation, revision, drained } => {
-                    // One that was started by an agent that died at that very moment.
-                    if let Some((name, process)) =
-                        Process::find(&self.folder).into_iter().find(|(n, _)| *n == name)
-                    {
-                        self.adopt(name, process)?;
-                        continue;
-                    }
-                    match self.start(&name, generation, incarnation, revision, drained) {
-                        Ok(process) => {
-                            crash_point();
-                            eprintln!("{name}: started as process {}, generation {generation}", process.pid);
-                            self.adopt(name, process)?;
-                        }
-                        Err(e) => {
-                            eprintln!("{name}: can't be started: {e}");
-                            self.event(Event::StartFailed {
-                                name,
-                                reason: format!("can't be started: {e}"),
-                            })?;
-                        }
-                    }
+                    self.start(name, generation, incarnation, revision, drained)?;
                 }
                 Action::Terminate(name) => self.signal(&name, Signal::TERM),
                 Action::Kill(name) => self.signal(&name, Signal::KILL),
-                Action::SendRequest { name, request } => self.send(name, request),
+                Action::SendRequest { name, request } => self.send_request(name, request),
             }
         }
         Ok(())
     }
 
+    /// Starts an instance, or adopts its process if one is already running.
+    fn start(
+        &mut self,
+        name: String,
+        generation: u64,
+        incarnation: u64,
+        revision: u64,
+        drained: bool,
+    ) -> Result<(), JournalError> {
+        // A previous agent may have started the process and died before it recorded this.
+        if let Some((name, process)) = Process::find(&self.folder).into_iter().find(|(n, _)| *n == name) {
+            return self.adopt(name, process);
+        }
+        match self.spawn_process(&name, generation, incarnation, revision, drained) {
+            Ok(process) => {
+                crash_point();
+                eprintln!("{name}: started as process {}, generation {generation}", process.pid);
+                self.adopt(name, process)
+            }
+            Err(e) => {
+                eprintln!("{name}: can't be started: {e}");
+                self.handle_event(Event::StartFailed { name, reason: format!("can't be started: {e}") })
+            }
+        }
+    }
+
     fn signal(&self, name: &str, signal: Signal) {
         if let Some(running) = self.running.get(name) {
-            eprintln!("{name}: process {} is sent {signal:?}", running.process.pid);
+            eprintln!("{name}: sending {signal:?} to process {}", running.process.pid);
             running.process.signal(signal);
         }
     }
 
     // ---- instances ----
 
-    /// Writes the files of an instance and starts it: the last list that it had, and the drained boxes in force
-    /// before it serves.
-    fn start(
+    /// Writes the files of an instance and starts its process. It starts with its last list of boxes, and the set of
+    /// drained boxes is active before it serves.
+    fn spawn_process(
         &self,
         name: &str,
         generation: u64,
@@ -344,96 +363,97 @@
         revision: u64,
         drained: bool,
     ) -> io::Result<Process> {
-        let folder = self.place(name);
-        fs::create_dir_all(&folder)?;
-        let text = fs::read(self.config(name, generation))?;
+        let dir = self.instance_dir(name);
+        fs::create_dir_all(&dir)?;
+        let text = fs::read(self.config_path(name, generation))?;
         let mut config: Value = serde_json::from_slice(&text)?;
         (config["name"], config["generation"]) = (json!(name), json!(generation));
-        if let Some(known) = self.known.get(name) {
-            config["known"] = known.clone();
+        if let Some(list) = self.box_lists.get(name) {
+            config["known"] = list.clone();
         }
-        replace(&folder.join("config.json"), config.to_string().as_bytes(), false)?;
-        let state_file = folder.join("state");
+        replace_file(&dir.join("config.json"), config.to_string().as_bytes(), false)?;
+        let state_file = dir.join("state");
         let operator = format!(
             "{}\n[control]\nsocket = {}\nstate_file = {}\n",
             config["operator"].as_str().unwrap_or("version = 1\n"),
-            json!(link::socket(&folder)),
+            json!(link::socket_path(&dir)),
             json!(state_file)
         );
-        replace(&folder.join("operator.toml"), operator.as_bytes(), false)?;
+        replace_file(&dir.join("operator.toml"), operator.as_bytes(), false)?;
         let boxes = self.fleet.plan().drained_boxes.clone();
-        // What stopped copies of reads at the process before is the instance's own to remember.
-        let before = fs::read_to_string(&state_file).ok().and_then(|t| State::decode(&t).ok());
-        let state = State { revision, boxes, drained, ..before.unwrap_or_default() };
-        replace(&state_file, state.encode().as_bytes(), false)?;
-        Process::start(&self.program, &self.folder, &folder, name, incarnation)
+        // The state file also records why shadow traffic stopped; this belongs to the instance and is kept.
+        let previous = fs::read_to_string(&state_file).ok().and_then(|t| State::decode(&t).ok());
+        let state = State { revision, boxes, drained, ..previous.unwrap_or_default() };
+        replace_file(&state_file, state.encode().as_bytes(), false)?;
+        Process::start(&self.program, &self.folder, &dir, name, incarnation)
     }
 
+    /// Takes control of a running process and connects to its control endpoint.
     fn adopt(&mut self, name: String, process: Process) -> Result<(), JournalError> {
         let (pid, incarnation) = (process.pid, process.incarnation);
         if let Some(other) = self.running.get(&name) {
-            // Two of one name can't both listen: the one that is known stays.
-            eprintln!("{name}: process {pid} is one too many beside {}", other.process.pid);
+            // Two processes of one instance can't listen on the same address, so the known one is kept.
+            eprintln!("{name}: killing process {pid}, as process {} already runs", other.process.pid);
             process.signal(Signal::KILL);
             return Ok(());
         }
-        let (asks, asked) = mpsc::channel(64);
-        let (messages, to) = (self.messages.clone(), name.clone());
-        let tell = move |heard| messages.send(Message::Heard(to.clone(), pid, heard)).is_ok();
-        tokio::spawn(link::keep(link::socket(&self.place(&name)), asked, tell));
-        let running = Running { process, asks, status: None, heard: Instant::now() };
+        let (requests, request_receiver) = mpsc::channel(64);
+        let (messages, instance) = (self.messages.clone(), name.clone());
+        let notify = move |event| messages.send(Message::Contact(instance.clone(), pid, event)).is_ok();
+        tokio::spawn(link::maintain(link::socket_path(&self.instance_dir(&name)), request_receiver, notify));
+        let running = RunningInstance { process, requests, status: None, last_contact: Instant::now() };
         self.running.insert(name.clone(), running);
-        self.event(Event::Running { name, pid, incarnation })
+        self.handle_event(Event::Running { name, pid, incarnation })
     }
 
-    fn heard(&mut self, name: String, heard: Heard) -> Result<(), JournalError> {
-        match heard {
-            Heard::Status(status) => {
+    fn handle_contact(&mut self, name: String, event: ContactEvent) -> Result<(), JournalError> {
+        match event {
+            ContactEvent::Status(status) => {
                 let Some(running) = self.running.get_mut(&name) else { return Ok(()) };
-                // Danger: another process on the same path would pass for this one.
+                // Another process may listen on the same socket path; its status must not count as this one's.
                 if status.pid != running.process.pid {
                     return Ok(());
                 }
-                let leaving = matches!(status.phase, Phase::Draining | Phase::Stopped);
+                let draining = matches!(status.phase, Phase::Draining | Phase::Stopped);
                 let report = Report {
-                    ready: status.phase == Phase::Ready || (leaving && status.list.usable > 0),
-                    drained: leaving,
+                    ready: status.phase == Phase::Ready || (draining && status.list.usable > 0),
+                    drained: draining,
                     generation: status.generation,
                     revision: status.revision,
                 };
-                (running.status, running.heard) = (Some(status), Instant::now());
-                self.event(Event::Reported { name, report })
+                (running.status, running.last_contact) = (Some(status), Instant::now());
+                self.handle_event(Event::Reported { name, report })
             }
-            Heard::Known(known) => {
-                self.boxes(&known);
-                let path = self.place(&name).join("known.json");
-                if let Err(e) = replace(&path, known.to_string().as_bytes(), false) {
-                    eprintln!("{}: {e}", path.display());
+            ContactEvent::BoxList(list) => {
+                self.update_boxes(&list);
+                let path = self.instance_dir(&name).join("known.json");
+                if let Err(e) = replace_file(&path, list.to_string().as_bytes(), false) {
+                    eprintln!("{name}: can't write {}: {e}", path.display());
                 }
-                self.known.insert(name, known);
+                self.box_lists.insert(name, list);
                 Ok(())
             }
-            Heard::Silent => self.event(Event::ContactLost { name }),
+            ContactEvent::Lost => self.handle_event(Event::ContactLost { name }),
         }
     }
 
-    /// Tells the fleet of the boxes of the newest list.
-    fn boxes(&mut self, known: &Value) {
-        let version = known["seq"].as_u64().unwrap_or(0);
-        if version < self.boxes_from {
+    /// Passes the boxes of a list to the fleet unless a newer list was passed before.
+    fn update_boxes(&mut self, list: &Value) {
+        let version = list["seq"].as_u64().unwrap_or(0);
+        if version < self.box_list_version {
             return;
         }
-        self.boxes_from = version;
-        let hosts = known["hosts"].as_array().map(Vec::as_slice).unwrap_or_default();
-        let one = |h: &Value| {
+        self.box_list_version = version;
+        let hosts = list["hosts"].as_array().map(Vec::as_slice).unwrap_or_default();
+        let parse_box = |h: &Value| {
             let zone = h["site"].as_str().unwrap_or_default().to_owned();
             Some((h["host"].as_str()?.to_owned(), (zone, h["health"] == "up")))
         };
-        let boxes = hosts.iter().filter_map(one).collect();
+        let boxes = hosts.iter().filter_map(parse_box).collect();
         self.fleet.handle(self.now(), Event::BoxesUpdated(boxes), &mut Vec::new());
     }
 
-    fn send(&self, name: String, request: Request) {
+    fn send_request(&self, name: String, request: Request) {
         let Some(running) = self.running.get(&name) else { return };
         let (messages, pid) = (self.messages.clone(), running.process.pid);
         let plan = self.fleet.plan();
@@ -443,41 +463,64 @@
             }
             Request::Drain => Op::Drain,
             Request::Undrain => Op::Undrain,
-            Request::Reconfigure { generation } => {
-                let text = fs::read(self.config(&name, generation)).map_err(|e| e.to_string());
-                let config =
-                    text.and_then(|t| serde_json::from_slice::<Value>(&t).map_err(|e| e.to_string()));
-                match config {
-                    Ok(mut config) => {
-                        config["name"] = json!(name);
-                        Op::Reconfigure { generation, config: Box::new(config), dry_run: false }
-                    }
-                    Err(why) => {
-                        let _ = messages.send(Message::Answered(name, pid, Some(Response::Rejected(why))));
-                        return;
-                    }
+            Request::Reconfigure { generation } => match self.read_config(&name, generation) {
+                Ok(config) => Op::Reconfigure { generation, config: Box::new(config), dry_run: false },
+                Err(reason) => {
+                    let _ = messages.send(Message::Responded(name, pid, Some(Response::Rejected(reason))));
+                    return;
                 }
-            }
+            },
         };
-        let asked = self.ask(&name, op);
+        let pending = self.send_op(&name, op);
         tokio::spawn(async move {
-            let answered = match asked {
-                Some(answered) => answered.await.ok(),
+            let result = match pending {
+                Some(pending) => pending.await.ok(),
                 None => None,
             };
-            let answer = answered.map(|told| match told {
-                Ok(Told::Reconfigured(r)) if !r.applied => Response::RestartRequired,
+            let response = result.map(|result| match result {
+                Ok(ControlAnswer::Reconfigured(r)) if !r.applied => Response::RestartRequired,
                 Ok(_) => Response::Applied,
                 Err(e) => Response::Rejected(e.message),
             });
-            let _ = messages.send(Message::Answered(name, pid, answer));
+            let _ = messages.send(Message::Responded(name, pid, response));
         });
     }
 
-    // ---- copies of reads ----
+    /// Reads the stored configuration of a generation and sets the instance's name in it.
+    fn read_config(&self, name: &str, generation: u64) -> Result<Value, String> {
+        let text = fs::read(self.config_path(name, generation)).map_err(|e| e.to_string())?;
+        let mut config = serde_json::from_slice::<Value>(&text).map_err(|e| e.to_string())?;
+        config["name"] = json!(name);
+        Ok(config)
+    }
+
+    // ---- shadow traffic ----
+
+    fn shadow(&mut self, command: ShadowCommand, answer: oneshot::Sender<Result<Value, Rejection>>) {
+        let (op, names, started) = match self.resolve_shadow(command) {
+            Ok(resolved) => resolved,
+            Err(rejection) => return drop(answer.send(Err(rejection))),
+        };
+        let now = Instant::now();
+        if let Some((generation, duration)) = started {
+            // Only the last start command is renewed; on other instances the lease expires.
+            let names = names.clone();
+            self.shadow_lease =
+                Some(ShadowLease { generation, ends_at: now + duration, names, renewed_at: now });
+        } else if matches!(op, Op::ShadowStop { .. }) {
+            self.shadow_lease.iter_mut().for_each(|lease| lease.names.retain(|n| !names.contains(n)));
+        }
+        let pending: Vec<_> = names.into_iter().map(|name| (self.send_op(&name, op.clone()), name)).collect();
+        tokio::spawn(async move {
+            let instances = collect_shadow_responses(pending).await;
+            let _ = answer.send(Ok(json!({"instances": instances})));
+        });
+    }
 
-    fn shadow(&mut self, order: ShadowOrder, answer: oneshot::Sender<Result<Value, Rejection>>) {
-        let named = |names: Option<Vec<String>>| -> Result<Vec<String>, Rejection> {
+    /// Checks a shadow command. Returns its operation, the selected instances and, for a start, its generation and
+    /// duration.
+    fn resolve_shadow(&self, command: ShadowCommand) -> Result<ResolvedShadow, Rejection> {
+        let selected = |names: Option<Vec<String>>| -> Result<Vec<String>, Rejection> {
             let all = &self.fleet.plan().instances;
             let names = names.unwrap_or_else(|| all.keys().cloned().collect());
             match names.iter().find(|n| !all.contains_key(*n)) {
@@ -485,75 +528,47 @@
                 None => Ok(names),
             }
         };
-        let checked = match order {
-            ShadowOrder::Start { for_ms, .. } if !(1_000..=LONGEST_COPYING_MS).contains(&for_ms) => {
-                let what = format!("for_ms is {for_ms}; 1000 to {LONGEST_COPYING_MS} is allowed");
-                Err(Rejection::Invalid(what))
+        match command {
+            ShadowCommand::Start { for_ms, .. } if !(1_000..=MAX_SHADOW_DURATION_MS).contains(&for_ms) => {
+                let reason = format!("for_ms is {for_ms}; it must be 1000 to {MAX_SHADOW_DURATION_MS}");
+                Err(Rejection::Invalid(reason))
             }
-            ShadowOrder::Start { generation, for_ms, names } => named(names).map(|names| {
-                let length = Duration::from_millis(for_ms);
-                let op = Op::ShadowStart { generation, lease_ms: LEASE.min(length).as_millis() as u64 };
-                (op, names, Some((generation, length)))
+            ShadowCommand::Start { generation, for_ms, names } => selected(names).map(|names| {
+                let duration = Duration::from_millis(for_ms);
+                let op =
+                    Op::ShadowStart { generation, lease_ms: SHADOW_LEASE.min(duration).as_millis() as u64 };
+                (op, names, Some((generation, duration)))
             }),
-            ShadowOrder::Stop { generation, names } => {
-                named(names).map(|names| (Op::ShadowStop { generation }, names, None))
+            ShadowCommand::Stop { generation, names } => {
+                selected(names).map(|names| (Op::ShadowStop { generation }, names, None))
             }
-            ShadowOrder::Status { names } => named(names).map(|names| (Op::ShadowStatus, names, None)),
-        };
-        let (op, names, started) = match checked {
-            Ok(checked) => checked,
-            Err(why) => return drop(answer.send(Err(why))),
-        };
-        let now = Instant::now();
-        if let Some((generation, length)) = started {
-            // One order is kept up at a time: instances that it does not name end with their lease.
-            let names = names.clone();
-            self.copying = Some(Copying { generation, until: now + length, names, renewed: now });
-        } else if matches!(op, Op::ShadowStop { .. }) {
-            self.copying.iter_mut().for_each(|c| c.names.retain(|n| !names.contains(n)));
+            ShadowCommand::Status { names } => selected(names).map(|names| (Op::ShadowStatus, names, None)),
         }
-        let asked: Vec<_> = names.into_iter().map(|name| (self.ask(&name, op.clone()), name)).collect();
-        tokio::spawn(async move {
-            let mut told = serde_json::Map::new();
-            for (answered, name) in asked {
-                let away = || json!({"error": {"code": "away", "message": "the instance does not answer"}});
-                let one = match answered {
-                    None => away(),
-                    Some(answered) => match tokio::time::timeout(PATIENCE, answered).await {
-                        Ok(Ok(Ok(done))) => json!({"ok": done}),
-                        Ok(Ok(Err(e))) => json!({"error": e}),
-                        Ok(Err(_)) | Err(_) => away(),
-                    },
-                };
-                told.insert(name, one);
-            }
-            let _ = answer.send(Ok(json!({"instances": told})));
-        });
     }
 
-    /// Asks a running instance.
-    fn ask(&self, name: &str, op: Op) -> Option<oneshot::Receiver<Result<Told, control::Error>>> {
-        let (to, answered) = oneshot::channel();
-        self.running.get(name)?.asks.try_send((op, to)).ok().map(|()| answered)
+    /// Sends an operation to a running instance. Returns `None` if it does not run or its queue is full.
+    fn send_op(&self, name: &str, op: Op) -> Option<oneshot::Receiver<ControlResult>> {
+        let (sender, receiver) = oneshot::channel();
+        self.running.get(name)?.requests.try_send((op, sender)).ok().map(|()| receiver)
     }
 
-    /// Keeps the instances copying for as long as that was ordered.
-    fn renew(&mut self) {
+    /// Renews the lease of shadow traffic until its duration is over.
+    fn renew_shadow_lease(&mut self) {
         let now = Instant::now();
-        let Some(copying) = &mut self.copying else { return };
-        let left = copying.until.saturating_duration_since(now);
-        if left < Duration::from_secs(1) || copying.names.is_empty() {
-            self.copying = None;
+        let Some(lease) = &mut self.shadow_lease else { return };
+        let left = lease.ends_at.saturating_duration_since(now);
+        if left < Duration::from_secs(1) || lease.names.is_empty() {
+            self.shadow_lease = None;
             return;
         }
-        if now.duration_since(copying.renewed) < RENEW {
+        if now.duration_since(lease.renewed_at) < SHADOW_RENEWAL_INTERVAL {
             return;
         }
-        copying.renewed = now;
-        let (generation, lease_ms) = (copying.generation, LEASE.min(left).as_millis() as u64);
-        let names = copying.names.clone();
-        // One that has stopped by itself refuses; that is its own to say.
-        names.iter().for_each(|name| drop(self.ask(name, Op::ShadowStart { generation, lease_ms })));
+        lease.renewed_at = now;
+        let (generation, lease_ms) = (lease.generation, SHADOW_LEASE.min(left).as_millis() as u64);
+        let names = lease.names.clone();
+        // An instance that stopped copying by itself rejects the renewal and reports the reason in its status.
+        names.iter().for_each(|name| drop(self.send_op(name, Op::ShadowStart { generation, lease_ms })));
     }
 
     // ---- commands ----
@@ -564,78 +579,86 @@
         base: u64,
         force: bool,
         dry_run: bool,
-        order: Order,
+        command: FleetCommand,
     ) -> Result<Result<Value, Rejection>, JournalError> {
-        if id.is_empty() || id.len() > 128 {
-            return Ok(Err(Rejection::Invalid("id must have 1 to 128 bytes".into())));
+        if id.is_empty() || id.len() > MAX_OPERATION_ID_BYTES {
+            return Ok(Err(Rejection::Invalid(format!("id must have 1 to {MAX_OPERATION_ID_BYTES} bytes"))));
         }
-        let (command, changes) = match order {
-            Order::Plain(Command::Apply { .. }) => {
-                return Ok(Err(Rejection::Invalid("apply wants each instance's config".into())))
+        let (command, changes) = match command {
+            FleetCommand::Plain(Command::Apply { .. }) => {
+                return Ok(Err(Rejection::Invalid("apply requires the config of each instance".into())))
             }
-            Order::Plain(command) => (command, Vec::new()),
-            Order::Apply(desired) => match self.number(*desired, dry_run) {
-                Ok(numbered) => numbered,
+            FleetCommand::Plain(command) => (command, Vec::new()),
+            FleetCommand::Apply(file) => match self.assign_generations(*file, dry_run) {
+                Ok(assigned) => assigned,
                 Err(rejection) => return Ok(Err(rejection)),
             },
         };
         if dry_run {
-            let checked = self.fleet.validate(&command, force);
+            let validated = self.fleet.validate(&command, force);
             return Ok(
-                checked.map(|()| json!({"generation": self.fleet.plan().generation, "changes": changes}))
+                validated.map(|()| json!({"generation": self.fleet.plan().generation, "changes": changes}))
             );
         }
         let mut actions = Vec::new();
-        let done = self.fleet.submit(self.now(), id, base, force, command, &mut actions);
-        self.act(actions)?;
-        Ok(done.map(|generation| json!({"id": id, "generation": generation, "changes": changes})))
+        let result = self.fleet.submit(self.now(), id, base, force, command, &mut actions);
+        self.carry_out(actions)?;
+        Ok(result.map(|generation| json!({"id": id, "generation": generation, "changes": changes})))
     }
 
-    /// Numbers the configurations of a fleet's file: the same one keeps its number, a new one is written down
-    /// under the next. Also what is changed, for people.
-    fn number(&self, desired: Desired, dry_run: bool) -> Result<(Command, Vec<String>), Rejection> {
+    /// Assigns generations to the configurations of a fleet file: an unchanged one keeps its generation, a new one is
+    /// written under the next generation. Also returns a list of the changes for operators.
+    fn assign_generations(
+        &self,
+        file: FleetFile,
+        dry_run: bool,
+    ) -> Result<(Command, Vec<String>), Rejection> {
         let plan = self.fleet.plan();
         let mut changes = Vec::new();
         let mut instances = BTreeMap::new();
-        for (name, instance) in desired.instances {
-            let invalid = |what: String| Rejection::Invalid(format!("{name}: {what}"));
+        for (name, instance) in file.instances {
+            let invalid = |reason: String| Rejection::Invalid(format!("{name}: {reason}"));
             if !is_valid_name(&name) {
                 return Err(invalid("is no name: 1 to 64 of a-z A-Z 0-9 - _ ., not first .".into()));
             }
-            let length = link::socket(&self.place(&name)).as_os_str().len();
-            if length > 107 {
+            let length = link::socket_path(&self.instance_dir(&name)).as_os_str().len();
+            if length > MAX_SOCKET_PATH_BYTES {
                 return Err(invalid(format!(
-                    "its socket's path would have {length} bytes; 107 are the most"
+                    "its control socket path has {length} bytes; at most {MAX_SOCKET_PATH_BYTES} are allowed"
                 )));
             }
             if !instance.config.is_object() {
-                return Err(invalid("its config is no object".into()));
+                return Err(invalid("its config is not a JSON object".into()));
             }
             let mut config = instance.config;
-            // What is the agent's own to say.
+            // These fields are set by the agent.
             if let Some(fields) = config.as_object_mut() {
                 fields.remove("generation");
                 fields.insert("name".into(), json!(name));
             }
-            let now = plan.instances.get(&name);
-            let same = |generation: u64| {
-                let old = fs::read(self.config(&name, generation)).ok()?;
+            let current = plan.instances.get(&name);
+            let if_same = |generation: u64| {
+                let old = fs::read(self.config_path(&name, generation)).ok()?;
                 (serde_json::from_slice::<Value>(&old).ok()? == config).then_some(generation)
             };
-            let last = (1..).take_while(|g| self.config(&name, *g).exists()).last().unwrap_or(0);
-            let generation = match now.and_then(|i| same(i.generation)).or_else(|| same(last)) {
+            let last = (1..).take_while(|g| self.config_path(&name, *g).exists()).last().unwrap_or(0);
+            let generation = match current.and_then(|i| if_same(i.generation)).or_else(|| if_same(last)) {
                 Some(generation) => generation,
                 None => {
                     if !dry_run {
-                        let write = fs::create_dir_all(self.place(&name)).and_then(|()| {
-                            replace(&self.config(&name, last + 1), config.to_string().as_bytes(), true)
+                        let written = fs::create_dir_all(self.instance_dir(&name)).and_then(|()| {
+                            replace_file(
+                                &self.config_path(&name, last + 1),
+                                config.to_string().as_bytes(),
+                                true,
+                            )
                         });
-                        write.map_err(|e| invalid(format!("its config can't be written: {e}")))?;
+                        written.map_err(|e| invalid(format!("its config can't be written: {e}")))?;
                     }
                     last + 1
                 }
             };
-            match now {
+            match current {
                 None => changes.push(format!("+ {name}: new in {}", instance.zone)),
                 Some(i) if i.generation != generation => {
                     changes.push(format!("~ {name}: configuration {} -> {generation}", i.generation));
@@ -644,20 +667,20 @@
             }
             instances.insert(name, DesiredInstance { zone: instance.zone, generation });
         }
-        let gone = plan.instances.keys().filter(|n| !instances.contains_key(*n));
-        changes.extend(gone.map(|n| format!("- {n}: ends")));
-        if plan.policy != desired.policy {
+        let removed = plan.instances.keys().filter(|n| !instances.contains_key(*n));
+        changes.extend(removed.map(|n| format!("- {n}: ends")));
+        if plan.policy != file.policy {
             changes.push("~ policy".into());
         }
-        Ok((Command::Apply { instances, policy: desired.policy }, changes))
+        Ok((Command::Apply { instances, policy: file.policy }, changes))
     }
 
-    // ---- what is told ----
+    // ---- state for the API ----
 
-    fn describe(&self) -> Value {
+    fn describe_fleet(&self) -> Value {
         let plan = self.fleet.plan();
         let instances: BTreeMap<&String, Value> =
-            plan.instances.keys().map(|name| (name, self.describe_one(name))).collect();
+            plan.instances.keys().map(|name| (name, self.describe_instance(name))).collect();
         let rollout = plan.rollout.as_ref().map(|r| {
             json!({"id": r.id, "state": r.state, "summary": r.summary(), "open": r.state.is_active(),
                 "done": r.done.len(), "all": r.targets.len(), "current": r.current, "failed": r.failed})
@@ -666,15 +689,15 @@
             "policy": plan.policy, "rollout": rollout, "instances": instances})
     }
 
-    fn describe_one(&self, name: &str) -> Value {
+    fn describe_instance(&self, name: &str) -> Value {
         let Some(intent) = self.fleet.plan().instances.get(name) else { return Value::Null };
-        let seen = self.fleet.observed(name);
+        let observed = self.fleet.observed(name);
         let running = self.running.get(name);
         let status = running.and_then(|r| r.status.as_ref());
-        let contact = seen.is_some_and(|s| s.connected);
-        let state = match (running, status, contact) {
+        let connected = observed.is_some_and(|s| s.connected);
+        let state = match (running, status, connected) {
             (None, ..) if !intent.running => "down",
-            (None, ..) if seen.is_some_and(|s| s.consecutive_crashes > 0) => "backing-off",
+            (None, ..) if observed.is_some_and(|s| s.consecutive_crashes > 0) => "backing-off",
             (None, ..) => "starting",
             (Some(_), None, _) => "starting",
             (Some(_), Some(_), false) => "unknown",
@@ -691,57 +714,78 @@
             "pid": running.map(|r| r.process.pid), "generation": status.map(|s| s.generation),
             "revision": status.map(|s| s.revision), "list": status.map(|s| &s.list),
             "requests": status.map(|s| s.requests), "counters": status.map(|s| &s.counters),
-            "heard_ms": running.map(|r| r.heard.elapsed().as_millis() as u64),
-            "crashes": seen.map_or(0, |s| s.consecutive_crashes), "trouble": seen.and_then(|s| s.last_error.clone()),
+            "heard_ms": running.map(|r| r.last_contact.elapsed().as_millis() as u64),
+            "crashes": observed.map_or(0, |s| s.consecutive_crashes),
+            "trouble": observed.and_then(|s| s.last_error.clone()),
         })
     }
 
     fn inspect(&self, name: &str, answer: oneshot::Sender<Option<Value>>) {
-        let mut told = self.describe_one(name);
-        if told.is_null() {
+        let mut description = self.describe_instance(name);
+        if description.is_null() {
             let _ = answer.send(None);
             return;
         }
-        told["status"] = json!(self.running.get(name).and_then(|r| r.status.as_ref()));
+        description["status"] = json!(self.running.get(name).and_then(|r| r.status.as_ref()));
         let Some(running) = self.running.get(name) else {
-            let _ = answer.send(Some(told));
+            let _ = answer.send(Some(description));
             return;
         };
-        let asks = running.asks.clone();
+        let requests = running.requests.clone();
         tokio::spawn(async move {
             let (mut boxes, mut after) = (Vec::new(), String::new());
-            // An instance that does not speak is told without its boxes.
+            // If the instance does not respond, its description has no boxes.
             loop {
-                let (to, answered) = oneshot::channel();
-                let ask = (Op::Boxes { after: after.clone(), limit: None }, to);
-                if asks.try_send(ask).is_err() {
+                let (sender, receiver) = oneshot::channel();
+                let request = (Op::Boxes { after: after.clone(), limit: None }, sender);
+                if requests.try_send(request).is_err() {
                     break;
                 }
-                let Ok(Ok(Ok(Told::Boxes(Page { boxes: page, more })))) =
-                    tokio::time::timeout(PATIENCE, answered).await
+                let Ok(Ok(Ok(ControlAnswer::Boxes(Page { boxes: page, more })))) =
+                    tokio::time::timeout(RESPONSE_TIMEOUT, receiver).await
                 else {
                     break;
                 };
                 after = page.last().map(|b| b.name.clone()).unwrap_or_default();
                 boxes.extend(page);
                 if !more {
-                    told["boxes"] = json!(boxes);
+                    description["boxes"] = json!(boxes);
                     break;
                 }
             }
-            let _ = answer.send(Some(told));
+            let _ = answer.send(Some(description));
         });
     }
 }
 
-/// For tests: the agent dies here when TRESTLE_AGENT_DIES is down to zero, as by SIGKILL.
+/// Waits for the responses of the instances and returns them by the names of the instances.
+async fn collect_shadow_responses(
+    pending: Vec<(Option<oneshot::Receiver<ControlResult>>, String)>,
+) -> serde_json::Map<String, Value> {
+    let mut responses = serde_json::Map::new();
+    for (response, name) in pending {
+        let unreachable = || json!({"error": {"code": "away", "message": "the instance does not respond"}});
+        let value = match response {
+            None => unreachable(),
+            Some(response) => match tokio::time::timeout(RESPONSE_TIMEOUT, response).await {
+                Ok(Ok(Ok(answer))) => json!({"ok": answer}),
+                Ok(Ok(Err(e))) => json!({"error": e}),
+                Ok(Err(_)) | Err(_) => unreachable(),
+            },
+        };
+        responses.insert(name, value);
+    }
+    responses
+}
+
+/// Kills the agent with SIGKILL after as many calls as `TRESTLE_AGENT_DIES` says, for tests.
 fn crash_point() {
     use std::sync::atomic::{AtomicI64, Ordering};
     use std::sync::OnceLock;
-    static LEFT: OnceLock<AtomicI64> = OnceLock::new();
-    let left = LEFT.get_or_init(|| {
-        let told = std::env::var("TRESTLE_AGENT_DIES").ok().and_then(|n| n.parse().ok());
-        AtomicI64::new(told.unwrap_or(i64::MAX))
+    static CALLS_LEFT: OnceLock<AtomicI64> = OnceLock::new();
+    let left = CALLS_LEFT.get_or_init(|| {
+        let limit = std::env::var("TRESTLE_AGENT_DIES").ok().and_then(|n| n.parse().ok());
+        AtomicI64::new(limit.unwrap_or(i64::MAX))
     });
     if left.fetch_sub(1, Ordering::Relaxed) == 0 {
         let _ = rustix::process::kill_process(rustix::process::getpid(), Signal::KILL);
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -1,8 +1,8 @@
-//! What the agent means to do, on disk before it does it.
+//! A write-ahead journal of the fleet's plan.
 //!
-//! A head line, then frames: length and CRC-32 of the body (four bytes each, little-endian), and the body, the
-//! JSON of the records of one step. A frame counts as a whole or not at all. The end of a file may be torn by a
-//! death in the middle of a write; anything else that can't be read is damage, and stops the start.
+//! The file consists of a header line and frames. A frame holds the length and the CRC-32 of its body (four bytes each,
+//! little-endian) and the body, the JSON of the records of one step. Frames are atomic. The last frame may be torn if
+//! the agent died during a write; any other unreadable content is damage, with which the agent does not start.
 
 use fleet::{Plan, Record};
 use std::fmt;
@@ -10,18 +10,18 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-const HEAD: &[u8] = b"trestle-journal/1\n";
-/// The longest body.
-const MAX_BODY: usize = 16 << 20;
-/// A file over this is written anew, with nothing in it that is past.
-const COMPACT: u64 = 4 << 20;
+const HEADER: &[u8] = b"trestle-journal/1\n";
+/// Maximum length of the body of a frame.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Minimum length at which the file is compacted to the current plan.
+const COMPACTION_BYTES: u64 = 4 << 20;
 
-/// Why a journal can't be had.
+/// Error of the journal.
 #[derive(Debug)]
 pub enum JournalError {
     /// The file can't be read or written.
     Io(PathBuf, io::Error),
-    /// It is damaged at this byte.
+    /// The file is damaged at this byte offset.
     Damaged(PathBuf, usize, String),
 }
 
@@ -29,8 +29,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             JournalError::Io(path, e) => write!(f, "{}: {e}", path.display()),
-            JournalError::Damaged(path, at, what) => {
-                write!(f, "{} is damaged at byte {at}: {what}; restore it from a copy", path.display())
+            JournalError::Damaged(path, offset, reason) => {
+                write!(f, "{} is damaged at byte {offset}: {reason}; restore it from a copy", path.display())
             }
         }
     }
@@ -38,7 +38,7 @@
 
 impl std::error::Error for JournalError {}
 
-/// The journal.
+/// An open journal, positioned at its end.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
@@ -46,20 +46,26 @@
     length: u64,
 }
 
-/// One frame of a file: its body and where the next begins; nothing at a torn end.
-fn frame(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, String> {
-    let Some(head) = bytes.get(at..at + 8) else { return Ok(None) };
-    let number = |i: usize| u32::from_le_bytes([head[i], head[i + 1], head[i + 2], head[i + 3]]);
-    let (length, sum) = (number(0) as usize, number(4));
+/// Decodes the frame at an offset. Returns its body and the offset of the next frame, or `None` at a torn end.
+fn decode_frame(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, String> {
+    let Some(frame_header) = bytes.get(at..at + 8) else { return Ok(None) };
+    let integer_at = |i: usize| {
+        u32::from_le_bytes([frame_header[i], frame_header[i + 1], frame_header[i + 2], frame_header[i + 3]])
+    };
+    let (length, checksum) = (integer_at(0) as usize, integer_at(4));
     let end = at + 8 + length;
-    let Some(body) = bytes.get(at + 8..end).filter(|_| length <= MAX_BODY) else {
-        // A length that no frame has is no torn write, which ends early and is otherwise right.
-        return if length <= MAX_BODY { Ok(None) } else { Err(format!("a frame of {length} bytes")) };
+    let Some(body) = bytes.get(at + 8..end).filter(|_| length <= MAX_BODY_BYTES) else {
+        // A torn write ends early but has the right content, so a length over the limit is damage.
+        return if length <= MAX_BODY_BYTES {
+            Ok(None)
+        } else {
+            Err(format!("the frame has {length} bytes; at most {MAX_BODY_BYTES} are allowed"))
+        };
     };
-    if crc32fast::hash(body) == sum {
+    if crc32fast::hash(body) == checksum {
         return Ok(Some((body, end)));
     }
-    // The last frame may have its length before its content: blocks reach a disk in any order.
+    // Blocks reach the disk in any order, so the last frame may have its length but not yet its content.
     if end == bytes.len() {
         Ok(None)
     } else {
@@ -68,29 +74,31 @@
 }
 
 impl Journal {
-    /// Opens the journal, or begins it, and reads the plan. A torn end is cut off.
+    /// Opens or creates the journal and reads the plan. A torn frame at the end is truncated.
     ///
     /// # Errors
-    /// It can't be read, or is damaged elsewhere than at its end.
+    /// The file can't be read or written, or it is damaged before its end.
     pub fn open(path: &Path) -> Result<(Journal, Plan), JournalError> {
         let io = |e| JournalError::Io(path.to_owned(), e);
-        let damaged = |at: usize, what: String| JournalError::Damaged(path.to_owned(), at, what);
+        let damaged = |at: usize, reason: String| JournalError::Damaged(path.to_owned(), at, reason);
         let mut plan = Plan::default();
         let bytes = match fs::read(path) {
             Ok(bytes) => bytes,
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(e) => return Err(io(e)),
         };
-        let mut at = HEAD.len();
-        if !bytes.starts_with(HEAD) {
-            // One that died while it was begun.
-            if !HEAD.starts_with(&bytes) {
-                return Err(damaged(0, "it is no journal of this version".into()));
+        let mut at = HEADER.len();
+        if !bytes.starts_with(HEADER) {
+            // The agent may have died while it wrote the header.
+            if !HEADER.starts_with(&bytes) {
+                return Err(damaged(0, "it is not a journal of this version".into()));
             }
             at = 0;
         }
         while at > 0 {
-            let Some((body, next)) = frame(&bytes, at).map_err(|what| damaged(at, what))? else { break };
+            let Some((body, next)) = decode_frame(&bytes, at).map_err(|reason| damaged(at, reason))? else {
+                break;
+            };
             let records: Vec<Record> =
                 serde_json::from_slice(body).map_err(|e| damaged(at, e.to_string()))?;
             for record in records {
@@ -108,40 +116,40 @@
         Ok((journal, plan))
     }
 
-    /// Writes the records of a step, and waits until they are on disk.
+    /// Appends the records of a step and waits until they are on disk.
     ///
     /// # Errors
-    /// They can't be written: nothing that follows from them may be done.
+    /// The records can't be written. Actions that depend on them must not be carried out.
     pub fn write(&mut self, records: &[Record], plan: &Plan) -> Result<(), JournalError> {
-        let frame = encode(records);
-        let wrote = self.file.write_all(&frame).and_then(|()| self.file.sync_data());
-        wrote.map_err(|e| JournalError::Io(self.path.clone(), e))?;
+        let frame = encode_frame(records);
+        let written = self.file.write_all(&frame).and_then(|()| self.file.sync_data());
+        written.map_err(|e| JournalError::Io(self.path.clone(), e))?;
         self.length += frame.len() as u64;
-        if self.length > COMPACT.max(4 * encode(&plan.records()).len() as u64) {
+        if self.length > COMPACTION_BYTES.max(4 * encode_frame(&plan.records()).len() as u64) {
             self.compact(plan)?;
         }
         Ok(())
     }
 
-    /// Writes the file anew. A death on the way leaves the old one or the new one.
+    /// Replaces the file by one with the current plan only. After a crash, either the old or the new file is there.
     fn compact(&mut self, plan: &Plan) -> Result<(), JournalError> {
-        let new = self.path.with_extension("new");
-        let bytes = [HEAD, &encode(&plan.records())].concat();
-        let swap = || -> io::Result<File> {
-            let mut file = File::create(&new)?;
+        let new_path = self.path.with_extension("new");
+        let bytes = [HEADER, &encode_frame(&plan.records())].concat();
+        let replace_file = || -> io::Result<File> {
+            let mut file = File::create(&new_path)?;
             file.write_all(&bytes)?;
             file.sync_all()?;
-            fs::rename(&new, &self.path)?;
+            fs::rename(&new_path, &self.path)?;
             File::open(self.path.parent().unwrap_or(Path::new(".")))?.sync_all()?;
             Ok(file)
         };
-        self.file = swap().map_err(|e| JournalError::Io(self.path.clone(), e))?;
+        self.file = replace_file().map_err(|e| JournalError::Io(self.path.clone(), e))?;
         self.length = bytes.len() as u64;
         Ok(())
     }
 }
 
-fn encode(records: &[Record]) -> Vec<u8> {
+fn encode_frame(records: &[Record]) -> Vec<u8> {
     let body = serde_json::to_vec(records).unwrap_or_default();
     let mut frame = (body.len() as u32).to_le_bytes().to_vec();
     frame.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -154,66 +162,66 @@
     use super::*;
     use fleet::{Intent, RecordKey};
 
-    fn plan(n: u64) -> Plan {
-        let mut plan = Plan { generation: n, ..Plan::default() };
-        plan.instances.insert("n0".into(), Intent { running: true, generation: n, ..Intent::default() });
+    fn plan_of_generation(generation: u64) -> Plan {
+        let mut plan = Plan { generation, ..Plan::default() };
+        plan.instances.insert("n0".into(), Intent { running: true, generation, ..Intent::default() });
         plan
     }
 
-    fn write(journal: &mut Journal, n: u64) {
-        let plan = plan(n);
+    fn write_generation(journal: &mut Journal, generation: u64) {
+        let plan = plan_of_generation(generation);
         let records = vec![plan.record(RecordKey::Fleet), plan.record(RecordKey::Instance("n0".into()))];
         journal.write(&records, &plan).expect("written");
     }
 
     #[test]
-    fn a_torn_end_is_cut_off_at_every_byte_and_damage_elsewhere_is_told() {
+    fn a_torn_end_is_truncated_at_every_byte_and_damage_elsewhere_is_an_error() {
         let path = testkit::scripted::scratch("journal");
-        let (mut journal, empty) = Journal::open(&path).expect("begun");
+        let (mut journal, empty) = Journal::open(&path).expect("created");
         assert_eq!(empty, Plan::default());
-        write(&mut journal, 1);
-        let one = fs::read(&path).expect("read").len();
-        write(&mut journal, 2);
+        write_generation(&mut journal, 1);
+        let first_frame_end = fs::read(&path).expect("read").len();
+        write_generation(&mut journal, 2);
         drop(journal);
         let whole = fs::read(&path).expect("read");
         for end in 0..=whole.len() {
             fs::write(&path, &whole[..end]).expect("written");
             let (mut journal, read) = Journal::open(&path).unwrap_or_else(|e| panic!("cut at {end}: {e}"));
-            let wanted = if end == whole.len() {
-                plan(2)
-            } else if end >= one {
-                plan(1)
+            let expected = if end == whole.len() {
+                plan_of_generation(2)
+            } else if end >= first_frame_end {
+                plan_of_generation(1)
             } else {
                 Plan::default()
             };
-            assert_eq!(read, wanted, "cut at {end}");
-            // It goes on from there.
-            write(&mut journal, 3);
+            assert_eq!(read, expected, "cut at {end}");
+            // The truncated journal can be extended.
+            write_generation(&mut journal, 3);
             drop(journal);
-            assert_eq!(Journal::open(&path).expect("whole").1, plan(3), "cut at {end}");
+            assert_eq!(Journal::open(&path).expect("whole").1, plan_of_generation(3), "cut at {end}");
         }
-        // Within what was whole already.
+        // Damage within a frame that was complete.
         let mut damaged = whole.clone();
-        damaged[one - 3] ^= 1;
+        damaged[first_frame_end - 3] ^= 1;
         fs::write(&path, &damaged).expect("written");
         let error = Journal::open(&path).expect_err("damaged").to_string();
         assert!(error.contains("wrong checksum"), "{error}");
-        // Content that never reached the disk, at the end.
-        let zeroed = [&whole[..one + 8], &vec![0; whole.len() - one - 8]].concat();
+        // A last frame whose content did not reach the disk.
+        let zeroed = [&whole[..first_frame_end + 8], &vec![0; whole.len() - first_frame_end - 8]].concat();
         fs::write(&path, &zeroed).expect("written");
-        assert_eq!(Journal::open(&path).expect("torn").1, plan(1));
+        assert_eq!(Journal::open(&path).expect("torn").1, plan_of_generation(1));
         fs::remove_file(&path).expect("removed");
     }
 
     #[test]
-    fn a_long_journal_is_written_anew_with_the_same_plan() {
+    fn a_long_journal_is_compacted_to_the_same_plan() {
         let path = testkit::scripted::scratch("journal");
-        let (mut journal, _) = Journal::open(&path).expect("begun");
-        journal.length = COMPACT;
-        write(&mut journal, 7);
+        let (mut journal, _) = Journal::open(&path).expect("created");
+        journal.length = COMPACTION_BYTES;
+        write_generation(&mut journal, 7);
         assert!(journal.length < 4096);
         drop(journal);
-        assert_eq!(Journal::open(&path).expect("whole").1, plan(7));
+        assert_eq!(Journal::open(&path).expect("whole").1, plan_of_generation(7));
         fs::remove_file(&path).expect("removed");
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,5 +1,6 @@
-//! The agent of a machine: runs its proxies, and keeps them as operators want them through the deaths of proxies,
-//! of the contact to them, and of itself. The choices are [`fleet`]'s; here they meet files, processes, sockets.
+//! The agent of a machine: runs its proxies in the state that operators ask for, across crashes of proxies, lost
+//! control connections and restarts of the agent. The decisions are made by [`fleet`]; this crate carries them out on
+//! files, processes and sockets.
 
 pub mod api;
 pub mod host;
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -1,4 +1,4 @@
-//! The contact to one instance's control endpoint.
+//! The connection to the control endpoint of one instance.
 
 use control::message::{line, Answer, Body, Known, Status};
 use control::{Code, Decoder, Error, Op, Reply, Request, MAX_REPLY};
@@ -11,140 +11,158 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// An endpoint says something at least this often, and is taken for silent after three times as long.
-const BEAT: Duration = Duration::from_millis(700);
-const SILENT: Duration = Duration::from_millis(2_100);
-/// Between two tries to connect.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval of the status events of an endpoint.
+const STATUS_INTERVAL: Duration = Duration::from_millis(700);
+/// An endpoint that sends nothing for this time, three status intervals, is considered lost.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_100);
+/// Delay between two attempts to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// What the host hears of it.
+/// An event of the connection.
 #[derive(Debug)]
-pub enum Heard {
-    /// The instance's state.
+pub enum ContactEvent {
+    /// The instance reported its status.
     Status(Box<Status>),
-    /// Its list of boxes, when it is another one.
-    Known(Value),
-    /// It does not speak.
-    Silent,
+    /// The instance has a new list of boxes.
+    BoxList(Value),
+    /// The connection broke, or the instance sends nothing.
+    Lost,
 }
 
-/// Something to ask, and where the answer goes; nothing comes if the contact breaks.
-pub type Ask = (Op, oneshot::Sender<Result<Answer, Error>>);
+/// An operation and the sender for its result; the sender is dropped if the connection breaks.
+pub type ControlRequest = (Op, oneshot::Sender<Result<Answer, Error>>);
 
-/// Keeps contact until `asks` is closed; tells of it by `tell`, which is false once nobody listens.
-pub async fn keep(path: PathBuf, mut asks: mpsc::Receiver<Ask>, tell: impl Fn(Heard) -> bool) {
+/// Keeps a connection open, and reconnects, until `requests` is closed. Events are passed to `notify`, which returns
+/// false when there is no receiver any more.
+pub async fn maintain(
+    path: PathBuf,
+    mut requests: mpsc::Receiver<ControlRequest>,
+    notify: impl Fn(ContactEvent) -> bool,
+) {
     loop {
-        let deadline = Instant::now() + SILENT;
-        let mut silent = false;
+        let deadline = Instant::now() + SILENCE_TIMEOUT;
+        let mut reported_lost = false;
         let stream = loop {
             match UnixStream::connect(&path).await {
                 Ok(stream) => break stream,
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(RECONNECT_DELAY).await,
             }
-            // What is asked meanwhile is not answered: its sender is dropped.
-            while let Ok(ask) = asks.try_recv() {
-                drop(ask);
+            // Requests made without a connection are not answered: their senders are dropped.
+            while let Ok(request) = requests.try_recv() {
+                drop(request);
             }
-            if asks.is_closed() {
+            if requests.is_closed() {
                 return;
             }
-            if !silent && Instant::now() > deadline {
-                silent = true;
-                if !tell(Heard::Silent) {
+            if !reported_lost && Instant::now() > deadline {
+                reported_lost = true;
+                if !notify(ContactEvent::Lost) {
                     return;
                 }
             }
         };
-        match talk(stream, &mut asks, &tell).await {
-            Talk::Over => return,
-            Talk::Broken => {
-                if !tell(Heard::Silent) {
+        match serve_connection(stream, &mut requests, &notify).await {
+            ConnectionEnd::Closed => return,
+            ConnectionEnd::Broken => {
+                if !notify(ContactEvent::Lost) {
                     return;
                 }
             }
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-enum Talk {
-    Over,
+enum ConnectionEnd {
+    /// The connection is no longer needed.
+    Closed,
+    /// The connection failed and has to be opened again.
     Broken,
 }
 
-async fn talk(mut stream: UnixStream, asks: &mut mpsc::Receiver<Ask>, tell: &impl Fn(Heard) -> bool) -> Talk {
+/// Serves one connection until it breaks or is no longer needed.
+async fn serve_connection(
+    mut stream: UnixStream,
+    requests: &mut mpsc::Receiver<ControlRequest>,
+    notify: &impl Fn(ContactEvent) -> bool,
+) -> ConnectionEnd {
     let (mut input, mut output) = stream.split();
     let mut decoder = Decoder::new(MAX_REPLY);
     let mut buffer = vec![0; 16 << 10];
-    let mut open: HashMap<String, (Instant, oneshot::Sender<Result<Answer, Error>>)> = HashMap::new();
-    let (mut next, mut version) = (0u64, None);
-    let watch = Request::new("watch", Op::Watch { every_ms: Some(BEAT.as_millis() as u64) });
+    let mut pending: HashMap<String, (Instant, oneshot::Sender<Result<Answer, Error>>)> = HashMap::new();
+    let (mut last_id, mut list_version) = (0u64, None);
+    let watch = Request::new("watch", Op::Watch { every_ms: Some(STATUS_INTERVAL.as_millis() as u64) });
     if output.write_all(&line(&watch)).await.is_err() {
-        return Talk::Broken;
+        return ConnectionEnd::Broken;
     }
-    let mut heard = Instant::now();
+    let mut last_received = Instant::now();
     loop {
-        // Silent, or it owes an answer for too long.
-        let due = open.values().map(|(at, _)| *at).min().unwrap_or(heard).min(heard) + SILENT;
+        // The endpoint must neither be silent nor leave a request unanswered for longer than the time-out.
+        let deadline = pending.values().map(|(at, _)| *at).min().unwrap_or(last_received).min(last_received)
+            + SILENCE_TIMEOUT;
         tokio::select! {
-            read = timeout_at(due, input.read(&mut buffer)) => {
-                let Ok(Ok(n)) = read else { return Talk::Broken };
+            read = timeout_at(deadline, input.read(&mut buffer)) => {
+                let Ok(Ok(n)) = read else { return ConnectionEnd::Broken };
                 if n == 0 {
-                    return Talk::Broken;
+                    return ConnectionEnd::Broken;
                 }
-                heard = Instant::now();
-                let mut piece = &buffer[..n];
-                while !piece.is_empty() {
-                    let Ok((used, frame)) = decoder.feed(piece) else { return Talk::Broken };
-                    piece = &piece[used..];
+                last_received = Instant::now();
+                let mut unread = &buffer[..n];
+                while !unread.is_empty() {
+                    let Ok((used, frame)) = decoder.feed(unread) else { return ConnectionEnd::Broken };
+                    unread = &unread[used..];
                     let Some(frame) = frame else { continue };
-                    let Ok(reply) = serde_json::from_slice::<Reply>(&frame) else { return Talk::Broken };
+                    let Ok(reply) = serde_json::from_slice::<Reply>(&frame) else {
+                        return ConnectionEnd::Broken;
+                    };
                     let status = match reply.body {
                         Body::Event(status) => status,
                         Body::Ok(Answer::Status(status)) if reply.id == "watch" => status,
                         Body::Ok(Answer::Known(Known { known })) if reply.id == "list" => {
-                            if !known.is_null() && !tell(Heard::Known(known)) {
-                                return Talk::Over;
+                            if !known.is_null() && !notify(ContactEvent::BoxList(known)) {
+                                return ConnectionEnd::Closed;
                             }
                             continue;
                         }
                         body => {
-                            if let Some((_, answer)) = open.remove(&reply.id) {
+                            if let Some((_, answer)) = pending.remove(&reply.id) {
                                 let _ = answer.send(match body {
                                     Body::Ok(a) => Ok(a),
                                     Body::Error(e) => Err(e),
-                                    Body::Event(_) => Err(Error::new(Code::BadFrame, "an event")),
+                                    Body::Event(_) => {
+                                        Err(Error::new(Code::BadFrame, "event instead of a reply"))
+                                    }
                                 });
                             }
                             continue;
                         }
                     };
-                    if std::mem::replace(&mut version, status.list.version) != status.list.version
+                    if std::mem::replace(&mut list_version, status.list.version) != status.list.version
                         && output.write_all(&line(&Request::new("list", Op::List))).await.is_err()
                     {
-                        return Talk::Broken;
+                        return ConnectionEnd::Broken;
                     }
-                    if !tell(Heard::Status(status)) {
-                        return Talk::Over;
+                    if !notify(ContactEvent::Status(status)) {
+                        return ConnectionEnd::Closed;
                     }
                 }
             }
-            ask = asks.recv() => {
-                let Some((op, answer)) = ask else { return Talk::Over };
-                next += 1;
-                let id = format!("a{next}");
-                let request = line(&Request::new(id.clone(), op));
-                let write = output.write_all(&request);
-                if !matches!(timeout_at(Instant::now() + SILENT, write).await, Ok(Ok(()))) {
-                    return Talk::Broken;
+            request = requests.recv() => {
+                let Some((op, answer)) = request else { return ConnectionEnd::Closed };
+                last_id += 1;
+                let id = format!("a{last_id}");
+                let frame = line(&Request::new(id.clone(), op));
+                let write = output.write_all(&frame);
+                if !matches!(timeout_at(Instant::now() + SILENCE_TIMEOUT, write).await, Ok(Ok(()))) {
+                    return ConnectionEnd::Broken;
                 }
-                open.insert(id, (Instant::now(), answer));
+                pending.insert(id, (Instant::now(), answer));
             }
         }
     }
 }
 
-/// Where an instance's control endpoint is.
-pub fn socket(folder: &Path) -> PathBuf {
-    folder.join("control.sock")
+/// Path of the control socket in the folder of an instance.
+pub fn socket_path(instance_dir: &Path) -> PathBuf {
+    instance_dir.join("control.sock")
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! trestle-agent: runs the proxies of a machine.
+//! trestle-agent: runs the trestlesill proxies of a machine.
 
 use clap::Parser;
 use rustix::fs::{flock, FlockOperation, Mode};
@@ -12,52 +12,53 @@
 use trestle_agent::api::Api;
 use trestle_agent::host::{Host, Message};
 
-/// Runs trestlesill proxies, and keeps them as operators want them. It ends on SIGTERM or SIGINT; the proxies run
-/// on, and the next agent on the same folder finds them.
+/// Runs trestlesill proxies and keeps them in the desired state. Stops on SIGTERM or SIGINT; the proxies keep running
+/// and are adopted by the next agent on the same folder.
 #[derive(Debug, Parser)]
 #[command(name = "trestle-agent", version, about)]
 struct Options {
-    /// The agent's folder: journal, configurations, sockets, logs. One agent a folder.
+    /// Folder of the agent for its journal, configurations, sockets and logs; used by one agent at a time
     #[arg(long)]
     dir: PathBuf,
-    /// The proxy's program; by default the one beside this one.
+    /// Program of the proxy [default: trestlesill in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The API's socket; by default `api.sock` in the folder.
+    /// Unix-domain socket of the API [default: api.sock in the agent's folder]
     #[arg(long)]
     socket: Option<PathBuf>,
-    /// Users that may use the API's socket besides the agent's own.
+    /// Id of a user who may use the API's socket besides the agent's own user; can be repeated
     #[arg(long)]
     allow_uid: Vec<u32>,
-    /// A loopback address for the API as well; it demands the token.
+    /// Loopback address on which the API also listens; clients must send the token
     #[arg(long, requires = "token_file")]
     listen: Option<SocketAddr>,
-    /// The file that holds the token: one line of 16 to 256 printable characters.
+    /// File that contains the token: one line of 16 to 256 printable characters
     #[arg(long)]
     token_file: Option<PathBuf>,
 }
 
-type Done<T> = Result<T, Box<dyn std::error::Error>>;
+type RunResult<T> = Result<T, Box<dyn std::error::Error>>;
 
-fn token(path: &Path) -> Done<Arc<str>> {
+fn read_token(path: &Path) -> RunResult<Arc<str>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let token = text.trim_end_matches(['\n', '\r']);
     if !(16..=256).contains(&token.len()) || !token.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err(format!("{}: a token has 16 to 256 printable characters", path.display()).into());
+        return Err(format!("{}: the token must have 16 to 256 printable characters", path.display()).into());
     }
     Ok(token.into())
 }
 
-fn bind(path: &Path) -> Done<UnixListener> {
-    // The folder's lock says that no other agent has it.
+/// Binds a Unix-domain socket that only its owner can open.
+fn bind_unix_socket(path: &Path) -> RunResult<UnixListener> {
+    // The lock on the folder ensures that no other agent uses the socket, so an existing one is left from before.
     let _ = std::fs::remove_file(path);
-    let mask = rustix::process::umask(Mode::from_raw_mode(0o177));
+    let previous_mask = rustix::process::umask(Mode::from_raw_mode(0o177));
     let bound = UnixListener::bind(path);
-    rustix::process::umask(mask);
+    rustix::process::umask(previous_mask);
     Ok(bound.map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-async fn run(options: Options) -> Done<()> {
+async fn run(options: Options) -> RunResult<()> {
     std::fs::create_dir_all(&options.dir).map_err(|e| format!("{}: {e}", options.dir.display()))?;
     let dir = options.dir.canonicalize()?;
     let lock = std::fs::File::create(dir.join("lock"))?;
@@ -67,13 +68,13 @@
         Some(program) => program.canonicalize().map_err(|e| format!("{}: {e}", program.display()))?,
         None => std::env::current_exe()?.with_file_name("trestlesill"),
     };
-    let listener = bind(&options.socket.unwrap_or_else(|| dir.join("api.sock")))?;
+    let listener = bind_unix_socket(&options.socket.unwrap_or_else(|| dir.join("api.sock")))?;
     let tcp = match (options.listen, &options.token_file) {
         (Some(address), Some(file)) => {
             if !address.ip().is_loopback() {
                 return Err(format!("--listen {address}: only a loopback address is allowed").into());
             }
-            Some((TcpListener::bind(address).await?, token(file)?))
+            Some((TcpListener::bind(address).await?, read_token(file)?))
         }
         _ => None,
     };
@@ -83,10 +84,10 @@
     let api = Api { messages: messages.clone(), changed };
     let mut uids = options.allow_uid;
     uids.push(rustix::process::geteuid().as_raw());
-    tokio::spawn(api.clone().unix(listener, uids));
+    tokio::spawn(api.clone().serve_unix(listener, uids));
     if let Some((listener, token)) = tcp {
         println!("api {}", listener.local_addr()?);
-        tokio::spawn(api.tcp(listener, token));
+        tokio::spawn(api.serve_tcp(listener, token));
     }
     let (mut terminate, mut interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     tokio::spawn(async move {
@@ -103,11 +104,11 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let done = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(run(options)),
         Err(e) => Err(e.into()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("trestle-agent: {e}");
