--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -1,6 +1,6 @@
 //! The connection to the control endpoint of one instance.
 
-use control::message::{line, Answer, Body, Known, Status};
+use control::message::{encode_line, Answer, Body, KnownList, Status};
 use control::{Code, Decoder, Error, Op, Reply, Request, MAX_REPLY};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -92,7 +92,7 @@
     let mut pending: HashMap<String, (Instant, oneshot::Sender<Result<Answer, Error>>)> = HashMap::new();
     let (mut last_id, mut list_version) = (0u64, None);
     let watch = Request::new("watch", Op::Watch { every_ms: Some(STATUS_INTERVAL.as_millis() as u64) });
-    if output.write_all(&line(&watch)).await.is_err() {
+    if output.write_all(&encode_line(&watch)).await.is_err() {
         return ConnectionEnd::Broken;
     }
     let mut last_received = Instant::now();
@@ -118,7 +118,7 @@
                     let status = match reply.body {
                         Body::Event(status) => status,
                         Body::Ok(Answer::Status(status)) if reply.id == "watch" => status,
-                        Body::Ok(Answer::Known(Known { known })) if reply.id == "list" => {
+                        Body::Ok(Answer::KnownList(KnownList { known })) if reply.id == "list" => {
                             if !known.is_null() && !notify(ContactEvent::BoxList(known)) {
                                 return ConnectionEnd::Closed;
                             }
@@ -138,7 +138,7 @@
                         }
                     };
                     if std::mem::replace(&mut list_version, status.list.version) != status.list.version
-                        && output.write_all(&line(&Request::new("list", Op::List))).await.is_err()
+                        && output.write_all(&encode_line(&Request::new("list", Op::List))).await.is_err()
                     {
                         return ConnectionEnd::Broken;
                     }
@@ -151,7 +151,7 @@
                 let Some((op, answer)) = request else { return ConnectionEnd::Closed };
                 last_id += 1;
                 let id = format!("a{last_id}");
-                let frame = line(&Request::new(id.clone(), op));
+                let frame = encode_line(&Request::new(id.clone(), op));
                 let write = output.write_all(&frame);
                 if !matches!(timeout_at(Instant::now() + SILENCE_TIMEOUT, write).await, Ok(Ok(()))) {
                     return ConnectionEnd::Broken;
--- a/crates/proxy/src/boxes/status.rs
+++ b/crates/proxy/src/boxes/status.rs
@@ -3,10 +3,10 @@
 use super::connection::Connection;
 use super::node::{state_name, Node};
 use super::{Boxes, MS};
-use crate::platform::discovery::Names;
+use crate::platform::discovery::TopologyNames;
 use addresses::Address;
 use calicosaddle::api::{Nanos, ServerState};
-use control::message::{BoxStatus, Pipelines, DEPTHS};
+use control::message::{BoxStatus, Pipelines, DEPTH_CLASS_BOUNDS};
 use serde_json::{json, Value};
 
 impl Boxes {
@@ -40,7 +40,7 @@
     }
 
     /// The nodes in discovery's JSON form, ordered by name.
-    pub fn hosts(&self, names: &Names) -> Vec<Value> {
+    pub fn hosts(&self, names: &TopologyNames) -> Vec<Value> {
         let is_listed = |n: &&Node| n.entry.state != ServerState::Removed && !n.addresses.is_empty();
         let mut nodes: Vec<&Node> = self.nodes.values().filter(is_listed).collect();
         nodes.sort_unstable_by(|a, b| a.name.cmp(&b.name));
@@ -51,7 +51,7 @@
             let is_tcp = |a: &&Address| matches!(a, Address::Tcp(_));
             let dial = n.addresses.addresses().find(is_tcp).map(Address::to_string);
             let mut host = json!({"host": n.name, "dial": dial, "site": name(&names.zones, e.zone),
-                "class": name(&names.kinds, e.kind), "block": e.cell, "health": state_name(e.state),
+                "class": name(&names.machine_kinds, e.kind), "block": e.cell, "health": state_name(e.state),
                 "share": e.weight, "born_ms": e.started_at / MS});
             if dials.len() != 1 || dial.is_none() {
                 host["dials"] = json!(dials);
@@ -84,7 +84,7 @@
     fn node_pipeline_stats(&self, node: &Node, now: Nanos) -> Pipelines {
         let mut stats = node.stats.clone();
         for c in node.connections.iter().filter_map(|key| self.connections.get(*key)) {
-            stats.depths[DEPTHS.iter().filter(|edge| c.depth() >= **edge).count()] += 1;
+            stats.depths[DEPTH_CLASS_BOUNDS.iter().filter(|edge| c.depth() >= **edge).count()] += 1;
             stats.oldest_head_ms = stats.oldest_head_ms.max(c.pipeline.head_age(now).unwrap_or(0) / MS);
         }
         stats
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -4,7 +4,7 @@
 //! for that of the next copy.
 //!
 //! All of this runs at the end of an iteration of the event loop, after live answers and attempts are written. A copy
-//! is not an attempt: the balancer, the metrics of the boxes and the clients are not affected by it.
+//! is not an attempt: the balancer, the statistics of the live boxes and the clients are not affected by it.
 
 use crate::event_loop::Source;
 use crate::platform::config::Config;
@@ -14,7 +14,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use calicosaddle::api::{server_id, Nanos, RequestId, RetrySafety};
-use control::message::{Code, Copying, Error};
+use control::message::{Code, Error, ShadowStatus};
 use control::State;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Registry};
@@ -48,8 +48,8 @@
     let classes = copied_classes(operator, config, &mut faults);
     let tenants = copied_tenants(operator, config, &mut faults);
     for (i, candidate) in operator.candidates.iter().enumerate() {
-        let mut hosts = config.known.iter().flat_map(|k| &k.hosts);
-        if let Some(host) = hosts.find(|h| h.dials.iter().any(|d| is_tcp_address(d, *candidate))) {
+        let mut hosts = config.known_list.iter().flat_map(|k| &k.hosts);
+        if let Some(host) = hosts.find(|h| h.addresses.iter().any(|d| is_tcp_address(d, *candidate))) {
             faults.push(format!("shadow.candidates[{i}]: {candidate} is the live box {:?}", host.name));
         }
     }
@@ -449,9 +449,9 @@
     }
 
     /// The status of copying, and the results of comparing the answers.
-    pub fn copying(&self, classes: &[String]) -> Copying {
+    pub fn copying(&self, classes: &[String]) -> ShadowStatus {
         let name = |class: &u32| classes.get(*class as usize).cloned().unwrap_or_default();
-        Copying {
+        ShadowStatus {
             status: self.shadow.status(),
             report: self.shadow.report(),
             samples: self.shadow.samples().copied().collect(),
@@ -546,7 +546,7 @@
     pub(crate) fn sweep_shadow_traffic(&mut self, loop_delay: Nanos) {
         let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
         let counters = self.observers.counters;
-        let (open, room) = (self.requests.len(), self.config.max_open);
+        let (open, room) = (self.requests.len(), self.config.max_open_requests);
         let load = Vitals { loop_delay, open, room, ..Vitals::default() };
         shadow_traffic.sweep(load, [counters.served, counters.refused], self.event_loop.now);
         self.persist_shadow_state();
