--- a/crates/operator/src/read.rs
+++ b/crates/operator/src/read.rs
@@ -1,26 +1,29 @@
-//! Takes the values of a table one by one, so that what is left over at the end is unknown.
+//! Typed access to the keys of TOML tables. Each value that is read is removed from its table, so that the keys left at
+//! the end are unknown ones.
 
 use crate::Fault;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use toml::{Table, Value};
 
-/// All faults so far.
+/// The faults found so far.
 #[derive(Debug, Default)]
-pub struct Errors(Vec<Fault>);
+pub struct FaultList(Vec<Fault>);
 
-impl Errors {
-    /// Adds one.
+impl FaultList {
+    /// Adds the fault of a key.
     pub fn add(&mut self, key: &str, reason: String) {
         self.0.push(Fault { key: key.to_owned(), reason });
     }
 
-    /// None so far.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The value, if there was no fault.
+    /// `value` if there are no faults.
+    ///
+    /// # Errors
+    /// The faults.
     pub fn result<T>(self, value: T) -> Result<T, Vec<Fault>> {
         if self.0.is_empty() {
             Ok(value)
@@ -30,7 +33,7 @@
     }
 }
 
-/// A table of the file.
+/// A table of the file. Keys that are read are recorded for the message about unknown ones.
 #[derive(Debug)]
 pub struct Section {
     path: String,
@@ -38,7 +41,7 @@
     known: Vec<&'static str>,
 }
 
-fn kind(value: &Value) -> &'static str {
+fn type_name(value: &Value) -> &'static str {
     match value {
         Value::String(_) => "a string",
         Value::Integer(_) => "an integer",
@@ -51,12 +54,12 @@
 }
 
 impl Section {
-    /// The whole file.
+    /// The root table of the file.
     pub fn root(table: Table) -> Section {
         Section { path: String::new(), table, known: Vec::new() }
     }
 
-    /// The whole name of one of its keys.
+    /// The full name of a key of this table, such as `control.socket`.
     pub fn key(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -70,34 +73,34 @@
         self.table.remove(key)
     }
 
-    fn wrong(&self, key: &str, want: &str, value: &Value, errors: &mut Errors) {
-        errors.add(&self.key(key), format!("is {}; {want} is wanted", kind(value)));
+    fn add_type_fault(&self, key: &str, expected: &str, value: &Value, faults: &mut FaultList) {
+        faults.add(&self.key(key), format!("is {}; {expected} is wanted", type_name(value)));
     }
 
-    /// A table in it.
-    pub fn section(&mut self, key: &'static str, errors: &mut Errors) -> Option<Section> {
+    /// A table.
+    pub fn section(&mut self, key: &'static str, faults: &mut FaultList) -> Option<Section> {
         match self.take(key)? {
             Value::Table(table) => Some(Section { path: self.key(key), table, known: Vec::new() }),
             value => {
-                self.wrong(key, "a table", &value, errors);
+                self.add_type_fault(key, "a table", &value, faults);
                 None
             }
         }
     }
 
-    /// What must be there, as `read` takes it.
+    /// A required value, read with `read`; a fault if the key is missing.
     pub fn required<T>(
         &mut self,
         key: &'static str,
-        errors: &mut Errors,
-        read: impl FnOnce(&mut Section, &mut Errors) -> Option<T>,
+        faults: &mut FaultList,
+        read: impl FnOnce(&mut Section, &mut FaultList) -> Option<T>,
     ) -> Option<T> {
         if !self.table.contains_key(key) {
             self.known.push(key);
-            errors.add(&self.key(key), "is missing".into());
+            faults.add(&self.key(key), "is missing".into());
             return None;
         }
-        read(self, errors)
+        read(self, faults)
     }
 
     /// An integer within bounds.
@@ -105,178 +108,179 @@
         &mut self,
         key: &'static str,
         bounds: RangeInclusive<i64>,
-        errors: &mut Errors,
+        faults: &mut FaultList,
     ) -> Option<i64> {
         let value = self.take(key)?;
-        self.bounded(key, &value, &bounds, errors)
+        self.bounded_integer(key, &value, &bounds, faults)
     }
 
-    fn bounded(
+    fn bounded_integer(
         &self,
         key: &str,
         value: &Value,
         bounds: &RangeInclusive<i64>,
-        errors: &mut Errors,
+        faults: &mut FaultList,
     ) -> Option<i64> {
         match value {
             Value::Integer(n) if bounds.contains(n) => Some(*n),
             Value::Integer(n) => {
-                let (least, most) = (bounds.start(), bounds.end());
+                let (min, max) = (bounds.start(), bounds.end());
                 let range =
-                    if *most == i64::MAX { format!("{least} or more") } else { format!("{least} to {most}") };
-                errors.add(&self.key(key), format!("is {n}; {range} is allowed"));
+                    if *max == i64::MAX { format!("{min} or more") } else { format!("{min} to {max}") };
+                faults.add(&self.key(key), format!("is {n}; {range} is allowed"));
                 None
             }
             value => {
-                self.wrong(key, "an integer", value, errors);
+                self.add_type_fault(key, "an integer", value, faults);
                 None
             }
         }
     }
 
-    /// An array of integers within bounds; empty where it is not there.
+    /// An array of integers within bounds; empty if the key is missing.
     pub fn integers(
         &mut self,
         key: &'static str,
         bounds: RangeInclusive<i64>,
-        errors: &mut Errors,
+        faults: &mut FaultList,
     ) -> Vec<i64> {
         match self.take(key) {
             None => Vec::new(),
-            Some(Value::Array(all)) => {
-                let each = all.iter().enumerate();
-                each.filter_map(|(i, v)| self.bounded(&format!("{key}[{i}]"), v, &bounds, errors)).collect()
+            Some(Value::Array(values)) => {
+                let entries = values.iter().enumerate();
+                entries
+                    .filter_map(|(i, v)| self.bounded_integer(&format!("{key}[{i}]"), v, &bounds, faults))
+                    .collect()
             }
             Some(value) => {
-                self.wrong(key, "an array of integers", &value, errors);
+                self.add_type_fault(key, "an array of integers", &value, faults);
                 Vec::new()
             }
         }
     }
 
-    /// A boolean.
-    pub fn boolean(&mut self, key: &'static str, errors: &mut Errors) -> Option<bool> {
+    pub fn boolean(&mut self, key: &'static str, faults: &mut FaultList) -> Option<bool> {
         match self.take(key)? {
-            Value::Boolean(told) => Some(told),
+            Value::Boolean(value) => Some(value),
             value => {
-                self.wrong(key, "a boolean", &value, errors);
+                self.add_type_fault(key, "a boolean", &value, faults);
                 None
             }
         }
     }
 
-    /// A number within bounds; an integer is one.
+    /// A float or an integer within bounds.
     pub fn number(
         &mut self,
         key: &'static str,
         bounds: RangeInclusive<f64>,
-        errors: &mut Errors,
+        faults: &mut FaultList,
     ) -> Option<f64> {
         let value = self.take(key)?;
         let number = match value {
             Value::Float(n) => n,
             Value::Integer(n) => n as f64,
             value => {
-                self.wrong(key, "a number", &value, errors);
+                self.add_type_fault(key, "a number", &value, faults);
                 return None;
             }
         };
         if bounds.contains(&number) {
             return Some(number);
         }
-        let (low, high) = (bounds.start(), bounds.end());
-        errors.add(&self.key(key), format!("is {number}; {low} to {high} is allowed"));
+        let (min, max) = (bounds.start(), bounds.end());
+        faults.add(&self.key(key), format!("is {number}; {min} to {max} is allowed"));
         None
     }
 
-    /// A string that is not empty.
-    pub fn string(&mut self, key: &'static str, errors: &mut Errors) -> Option<String> {
+    /// A non-empty string.
+    pub fn string(&mut self, key: &'static str, faults: &mut FaultList) -> Option<String> {
         match self.take(key)? {
             Value::String(text) if !text.is_empty() => Some(text),
             Value::String(_) => {
-                errors.add(&self.key(key), "is empty".into());
+                faults.add(&self.key(key), "is empty".into());
                 None
             }
             value => {
-                self.wrong(key, "a string", &value, errors);
+                self.add_type_fault(key, "a string", &value, faults);
                 None
             }
         }
     }
 
     /// An array of strings.
-    pub fn strings(&mut self, key: &'static str, errors: &mut Errors) -> Option<Vec<String>> {
-        let all = match self.take(key)? {
-            Value::Array(all) => all,
+    pub fn strings(&mut self, key: &'static str, faults: &mut FaultList) -> Option<Vec<String>> {
+        let values = match self.take(key)? {
+            Value::Array(values) => values,
             value => {
-                self.wrong(key, "an array of strings", &value, errors);
+                self.add_type_fault(key, "an array of strings", &value, faults);
                 return None;
             }
         };
         let mut texts = Vec::new();
-        for (i, value) in all.into_iter().enumerate() {
+        for (i, value) in values.into_iter().enumerate() {
             match value {
                 Value::String(text) => texts.push(text),
-                value => self.wrong(&format!("{key}[{i}]"), "a string", &value, errors),
+                value => self.add_type_fault(&format!("{key}[{i}]"), "a string", &value, faults),
             }
         }
         Some(texts)
     }
 
-    /// An array of tables, `[[...]]`; empty where it is not there.
-    pub fn sections(&mut self, key: &'static str, errors: &mut Errors) -> Vec<Section> {
-        let all = match self.take(key) {
+    /// An array of tables, `[[...]]`; empty if the key is missing.
+    pub fn sections(&mut self, key: &'static str, faults: &mut FaultList) -> Vec<Section> {
+        let values = match self.take(key) {
             None => return Vec::new(),
-            Some(Value::Array(all)) => all,
+            Some(Value::Array(values)) => values,
             Some(value) => {
-                self.wrong(key, "an array of tables", &value, errors);
+                self.add_type_fault(key, "an array of tables", &value, faults);
                 return Vec::new();
             }
         };
         let mut sections = Vec::new();
-        for (i, value) in all.into_iter().enumerate() {
+        for (i, value) in values.into_iter().enumerate() {
             let path = format!("{key}[{i}]");
             match value {
                 Value::Table(table) => {
                     sections.push(Section { path: self.key(&path), table, known: Vec::new() });
                 }
-                value => self.wrong(&path, "a table", &value, errors),
+                value => self.add_type_fault(&path, "a table", &value, faults),
             }
         }
         sections
     }
 
-    /// A path, `{name}` in it replaced.
-    pub fn path(&mut self, key: &'static str, instance: &str, errors: &mut Errors) -> Option<PathBuf> {
+    /// A path in which `{name}` is replaced by the instance's name.
+    pub fn path(&mut self, key: &'static str, instance: &str, faults: &mut FaultList) -> Option<PathBuf> {
         let text = match self.take(key)? {
             Value::String(text) => text,
             value => {
-                self.wrong(key, "a path as a string", &value, errors);
+                self.add_type_fault(key, "a path as a string", &value, faults);
                 return None;
             }
         };
         if text.is_empty() || text.contains('\0') {
-            errors.add(&self.key(key), "is no path".into());
+            faults.add(&self.key(key), "is no path".into());
             return None;
         }
         if text.contains("{name}") {
-            // Danger: a name with a slash would lead out of the operator's folder.
-            let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-            if instance.is_empty() || !instance.chars().all(plain) || instance.starts_with('.') {
+            // A name with a slash would lead to a path outside the folder that the operator chose.
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+            if instance.is_empty() || !instance.chars().all(is_allowed) || instance.starts_with('.') {
                 let reason =
                     format!("has {{name}}, and the instance's name {instance:?} can't stand in a path");
-                errors.add(&self.key(key), reason);
+                faults.add(&self.key(key), reason);
                 return None;
             }
         }
         Some(PathBuf::from(text.replace("{name}", instance)))
     }
 
-    /// Whatever has not been taken is unknown.
-    pub fn finish(self, errors: &mut Errors) {
+    /// Adds a fault for each key that has not been read.
+    pub fn finish(self, faults: &mut FaultList) {
         for key in self.table.keys() {
             let known = if self.known.is_empty() { "none".into() } else { self.known.join(", ") };
-            errors.add(&self.key(key), format!("is unknown; known here: {known}"));
+            faults.add(&self.key(key), format!("is unknown; known here: {known}"));
         }
     }
 }
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -1,4 +1,4 @@
-//! What a file may say, and what is said of one that says something else.
+//! Parsing and validation of the operator's file.
 
 use operator::{Operator, Pipeline, MAX_FILE, MAX_SOCKET_PATH};
 use std::path::Path;
@@ -9,10 +9,10 @@
 }
 
 #[test]
-fn the_example_in_deploy_is_read_and_switches_nothing_on() {
+fn the_example_in_deploy_is_valid_and_enables_nothing() {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.toml"));
     assert_eq!(Operator::load(path, "n0").expect("good"), Operator::default());
-    // With every comment sign before an option taken away it is a file that sets every option.
+    // With its options uncommented the example sets every option.
     let text = std::fs::read_to_string(path).expect("read");
     let all = text.lines().map(|l| l.strip_prefix("#:").unwrap_or(l)).collect::<Vec<_>>().join("\n");
     let operator = Operator::parse(&all, "n0").expect("good");
@@ -27,11 +27,11 @@
     assert_eq!(operator.pipeline, pipeline);
     let users: Vec<_> = operator.clients.users.iter().map(|u| (&u.name[..], u.password.is_some())).collect();
     assert_eq!(users, [("kiosk", true), ("default", false)]);
-    // But for what is required, it shows the defaults.
-    let least = "version = 1\n[control]\nsocket = \"/a\"\n[shadow]\ncandidates = [\"10.4.0.21:7000\"]\n\
+    // Apart from the required options, the example shows the defaults.
+    let required = "version = 1\n[control]\nsocket = \"/a\"\n[shadow]\ncandidates = [\"10.4.0.21:7000\"]\n\
                  classes = [\"pack-lookup\"]\nmisses_per_second = 200\n";
-    let least = Operator::parse(least, "n0").expect("good").shadow.expect("shadow");
-    assert_eq!(operator.shadow, Some(operator::Shadow { tenants: Some(Vec::new()), ..least }));
+    let required = Operator::parse(required, "n0").expect("good").shadow.expect("shadow");
+    assert_eq!(operator.shadow, Some(operator::Shadow { tenants: Some(Vec::new()), ..required }));
     let control = operator.control.expect("control");
     assert_eq!(control.socket, Path::new("/run/trestlesill/n0.sock"));
     assert_eq!(control.state_file.as_deref(), Some(Path::new("/var/lib/trestlesill/n0.state")));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_each_with_its_key() {
+fn all_faults_are_reported_together_each_with_its_key() {
     let text = "version = 1\nspeed = 9\n[control]\nsockets = \"/a\"\nmax_connections = 0\nallow_uids = [1, -1, \"x\"]";
     assert_eq!(
         faults(text),
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn a_version_is_demanded_and_another_one_is_not_guessed_at() {
+fn a_missing_or_unsupported_version_is_rejected() {
     assert_eq!(faults("[control]\nsocket = \"/a\""), ["version: is missing; write `version = 1`"]);
     assert_eq!(faults("version = 2\nwhatever = 1"), ["version: is 2; this build reads version 1"]);
     assert_eq!(faults("version = \"1\""), ["version: is a string; an integer is wanted"]);
 }
 
 #[test]
-fn values_of_another_kind_and_bad_paths_are_named() {
+fn values_of_a_wrong_type_and_invalid_paths_are_reported() {
     assert_eq!(faults("version = 1\ncontrol = 4"), ["control: is an integer; a table is wanted"]);
     assert_eq!(faults("version = 1\n[control]\nsocket = \"\""), ["control.socket: is no path"]);
     let long = format!("version = 1\n[control]\nsocket = \"/{}\"", "x".repeat(MAX_SOCKET_PATH));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn bounds_of_pipelines_are_checked() {
+fn pipeline_options_are_checked_against_their_bounds() {
     let text = "version = 1\n[pipeline]\nreads = 0\nwrites = 1025\nplacing = \"best\"\nhead_quantile = 0.4\n\
         handshake_cost = \"much\"\nbatch_bytes = 0\nbatch_delay_us = 5001\nclients = -1\nenabled = 1\ndepth = 4\nrest_ms = 51";
     assert_eq!(
@@ -95,13 +95,16 @@
              head_quantile, rest_ms, apart, batch_bytes, batch_delay_us, clients",
         ]
     );
-    let told = Operator::parse("version = 1\n[pipeline]\nplacing = \"expected\"\nhead_quantile = 1", "n0");
-    let told = told.expect("good").pipeline;
-    assert_eq!((told.expected_placement, told.head_quantile, told.batch_bytes), (true, 1.0, 65_536));
+    let parsed = Operator::parse("version = 1\n[pipeline]\nplacing = \"expected\"\nhead_quantile = 1", "n0");
+    let pipeline = parsed.expect("good").pipeline;
+    assert_eq!(
+        (pipeline.expected_placement, pipeline.head_quantile, pipeline.batch_bytes),
+        (true, 1.0, 65_536)
+    );
 }
 
 #[test]
-fn users_and_boxes_are_checked() {
+fn options_of_users_and_boxes_are_checked() {
     let text = r#"version = 1
         clients.users = [{ name = "a b", password = "x" }, { name = "kiosk" },
             { name = "default", commands = ["CACHE.GET", "FLUSHALL"] }, { name = "default" }, 4]
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn what_is_not_toml_is_told_with_its_line() {
+fn a_toml_syntax_error_is_reported_with_its_line() {
     assert!(
         faults("version = 1\n\n[control\n")[0].starts_with(": line 3: "),
         "{:?}",
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_or_too_long_is_named() {
+fn a_missing_or_too_long_file_is_reported_with_its_path() {
     let error = Operator::load(Path::new("/nowhere/operator.toml"), "n0").expect_err("missing").to_string();
     assert!(error.starts_with("/nowhere/operator.toml: can't be read: "), "{error}");
     let path = std::env::temp_dir().join(format!("operator-{}.toml", std::process::id()));
@@ -143,10 +146,10 @@
 }
 
 #[test]
-fn what_copies_of_reads_may_not_be_told_is_named_all_at_once() {
+fn all_faults_of_the_shadow_options_are_reported_together() {
     let text = "version = 1\n[shadow]\ncandidates = [\"box:1\", \"10.0.0.1:7\", \"10.0.0.1:7\"]\nclasses = []\n\
                 tenants = [\"a\"]\nexcept_tenants = [\"b\"]\nshare = 2\nheld_bytes = 9\ncpu_share = 0\nspeed = 1";
-    let told = faults(text);
+    let reported = faults(text);
     let expected = [
         "shadow: is started over the control endpoint; [control] is missing",
         "shadow.candidates[0]: \"box:1\" is no IP:PORT",
@@ -158,8 +161,11 @@
         "shadow.cpu_share: is 0; 0.001 to 0.5 is allowed",
         "shadow.misses_per_second: is missing",
     ];
-    assert_eq!(told[..expected.len()], expected);
-    assert!(told.len() == expected.len() + 1 && told[expected.len()].starts_with("shadow.speed: is unknown"));
+    assert_eq!(reported[..expected.len()], expected);
+    assert!(
+        reported.len() == expected.len() + 1
+            && reported[expected.len()].starts_with("shadow.speed: is unknown")
+    );
     let many: Vec<String> = (0..65).map(|i| format!("\"10.0.0.1:{i}\"")).collect();
     for candidates in ["".to_owned(), many.join(",")] {
         let text = format!(
