--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What a controller may ask of a proxy, and what it is told.
+//! Requests of a controller and replies of a proxy.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,239 +6,240 @@
 
 /// The version of the protocol.
 pub const VERSION: u32 = 1;
-/// The longest id of a request and the longest name of a box, in bytes.
+/// The maximum length of a request's id and of a box's name, in bytes.
 pub const MAX_ID: usize = 128;
-/// Boxes that one page of [`Op::Boxes`] holds at the most.
+/// The maximum number of boxes in a page of [`Op::Boxes`].
 pub const MAX_PAGE: usize = 256;
-/// The shortest and longest interval of a watch, in milliseconds.
+/// The range of the interval of a watch, in milliseconds.
 pub const WATCH_MS: std::ops::RangeInclusive<u64> = 100..=60_000;
 
-/// One line from a controller.
+/// A request, one line from a controller.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Request {
     /// The protocol's version.
     pub v: u32,
-    /// Comes back with each answer; the controller's to choose.
+    /// Chosen by the controller, and returned with each reply to this request.
     pub id: String,
-    /// What is asked, with its own fields beside it.
+    /// The operation; its fields are at the same level as `v` and `id`.
     #[serde(flatten)]
     pub op: Op,
 }
 
-/// What a controller can ask.
+/// An operation that a controller can request.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "op", rename_all = "kebab-case")]
 pub enum Op {
-    /// The state of the instance.
+    /// Returns the state of the instance.
     Status,
-    /// The boxes as the instance sees them, in the order of their names, from after the one named on.
+    /// Returns a page of the boxes as the instance sees them, in the order of their names.
     Boxes {
-        /// The last name of the page before; nothing for the first page.
+        /// The last name of the previous page; empty for the first page.
         #[serde(default)]
         after: String,
-        /// How many, at most [`MAX_PAGE`].
+        /// The number of boxes, at most [`MAX_PAGE`].
         #[serde(default)]
         limit: Option<usize>,
     },
-    /// The list of boxes in discovery's form, as a configuration's `known` wants it.
+    /// Returns the list of boxes in discovery's format, as `known` in a configuration expects it.
     List,
-    /// Take nothing new: close the listener and each connection between requests; answer what is taken.
+    /// Accepts no new requests: closes the listener, and each connection between requests; requests in progress are
+    /// answered.
     Drain,
-    /// Serve again after [`Op::Drain`].
+    /// Serves again after [`Op::Drain`].
     Undrain,
-    /// Send these boxes nothing new, whatever discovery says of them.
+    /// Sends a box no new requests, regardless of its state in discovery.
     DrainBox {
         /// The box's name in discovery.
         #[serde(rename = "box")]
         name: String,
     },
-    /// Let discovery decide about a box again.
+    /// Follows discovery again for a drained box.
     UndrainBox {
         /// The box's name in discovery.
         #[serde(rename = "box")]
         name: String,
     },
-    /// Replaces the set of boxes drained by operators, as one change.
+    /// Replaces the set of boxes drained by operators in one change.
     SetDrained {
-        /// Number of this set. One below that in force is refused, the same number with another set too.
+        /// Revision of this set. A lower one than that in force is rejected, as is the same one with another set.
         revision: u64,
         /// All boxes that are to be drained.
         boxes: Vec<String>,
     },
-    /// Copies reads to candidates until the lease ends; the same order again prolongs it.
+    /// Copies reads to candidates until the lease ends; the same generation again extends the lease.
     ShadowStart {
-        /// Number of this order. One below that in force is refused, and one under which copying has stopped.
+        /// Generation of this command. A lower one than that in force is rejected, as is one whose copying has stopped.
         generation: u64,
-        /// The lease, 1,000 to 86,400,000 ms.
+        /// The duration of the lease, 1,000 to 86,400,000 ms.
         lease_ms: u64,
     },
-    /// Copies nothing more, until it is started under a later number.
+    /// Stops copying until it is started under a later generation.
     ShadowStop {
-        /// Number of this order. One below that in force is refused.
+        /// Generation of this command. A lower one than that in force is rejected.
         generation: u64,
     },
-    /// How copying stands, and what it shows.
+    /// Returns the state and results of copying.
     ShadowStatus,
-    /// Takes over a configuration: all of it or, if a part of it can't be, nothing.
+    /// Applies a configuration: the whole of it, or nothing if a part of it can't be applied.
     Reconfigure {
-        /// Number of this configuration; as for [`Op::SetDrained`].
+        /// Generation of this configuration; the rules are those of the revision of [`Op::SetDrained`].
         generation: u64,
-        /// The configuration as NODE_CONFIG has it.
+        /// The configuration, as in the file that NODE_CONFIG names.
         config: Box<Value>,
-        /// Only say what would happen.
+        /// Returns what would change, without applying it.
         #[serde(default)]
         dry_run: bool,
     },
-    /// The status now, whenever it changes, and every so many milliseconds.
+    /// Sends the status now, after each change, and at an interval.
     Watch {
-        /// [`WATCH_MS`]; without it only changes are told.
+        /// The interval in milliseconds, within [`WATCH_MS`]; without it only changes are sent.
         #[serde(default)]
         every_ms: Option<u64>,
     },
 }
 
-/// One line from a proxy.
+/// A reply, one line from a proxy.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Reply {
     /// The protocol's version.
     pub v: u32,
-    /// The request's id; empty where none could be read.
+    /// The request's id; empty if it could not be read.
     pub id: String,
-    /// What came of it.
+    /// The outcome.
     #[serde(flatten)]
     pub body: Body,
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// Done: the answer.
+    /// The request succeeded.
     Ok(Answer),
-    /// Not done.
+    /// The request was rejected or failed.
     Error(Error),
-    /// News for who watches; more will follow under this id.
+    /// An event of a watch; more follow with this id.
     Event(Box<Status>),
 }
 
-/// What is told to who asked.
+/// The result of a successful request.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Answer {
-    /// To `status`, and to all that changes it.
+    /// Of `status`, and of operations that change it.
     Status(Box<Status>),
-    /// To `boxes`.
+    /// Of `boxes`.
     Boxes(Page),
-    /// To `list`.
+    /// Of `list`.
     KnownList(KnownList),
-    /// To `reconfigure`.
+    /// Of `reconfigure`.
     Reconfigured(Reconfigured),
-    /// To `shadow-start`, `shadow-stop` and `shadow-status`.
+    /// Of `shadow-start`, `shadow-stop` and `shadow-status`.
     Shadow(Box<ShadowStatus>),
 }
 
-/// How copying to candidates stands, and what it shows.
+/// State and results of copying reads to candidates.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ShadowStatus {
-    /// How it stands.
+    /// The state of copying.
     pub status: shadow::Status,
-    /// What it shows at this instance alone.
+    /// The results of this instance alone.
     pub report: shadow::Report,
-    /// Keys of answers that differed, the latest first, where the operator wants them.
+    /// Keys with different answers, the latest first, if the operator enabled samples.
     pub samples: Vec<shadow::Sample>,
-    /// Times by the names of classes, in base64 what `shadow::verdict::Times` writes: those of several instances can be
-    /// added.
+    /// Latency histograms by class name: the bytes of `shadow::verdict::Times` in base64. Those of several instances can
+    /// be merged.
     pub times: BTreeMap<String, String>,
 }
 
-/// What came of a configuration.
+/// The result of applying a configuration.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Default)]
 pub struct Reconfigured {
-    /// The generation in force now.
+    /// The generation now in force.
     pub generation: u64,
-    /// It is in force (for a dry run: it would be).
+    /// Whether it is in force; for a dry run, whether it would be.
     pub applied: bool,
-    /// What it changes, by key.
+    /// The keys that it changes.
     pub changes: Vec<String>,
-    /// Which of these hold only from a restart on. If there are any, nothing was applied.
+    /// Those of them that require a restart. If there are any, nothing was applied.
     pub needs_restart: Vec<String>,
 }
 
-/// What an instance does now.
+/// The phase of an instance.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It listens and knows no box that it could ask.
+    /// It listens, and knows no usable box yet.
     Starting,
-    /// It serves.
+    /// It serves requests.
     Ready,
-    /// It takes nothing new and answers what it has.
+    /// It accepts no new requests, and answers those in progress.
     Draining,
-    /// It is drained: it has no client left, and serves nobody until `undrain`.
+    /// It is drained: it has no client connections, and accepts none until `undrain`.
     Stopped,
 }
 
 /// The state of an instance.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Status {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// Its process.
+    /// Its process id.
     pub pid: u32,
-    /// Start of this process in Unix time, in milliseconds: another one means that it has been restarted.
+    /// The start of the process in milliseconds of Unix time. A change of it means a restart.
     pub started_ms: u64,
-    /// What it does.
+    /// Its phase.
     pub phase: Phase,
-    /// The configuration in force.
+    /// The generation of the configuration in force.
     pub generation: u64,
-    /// The set of drained boxes in force.
+    /// The revision of the set of drained boxes in force.
     pub revision: u64,
-    /// The boxes that operators drained.
+    /// Names of the boxes drained by operators.
     pub drained: Vec<String>,
     /// The list of boxes.
     pub list: List,
-    /// Requests taken and not answered.
+    /// Requests in progress.
     pub requests: usize,
-    /// Attempts that are out.
+    /// Attempts in progress.
     pub attempts: usize,
-    /// Connections of clients.
+    /// Client connections.
     pub clients: usize,
     /// Connections to boxes.
     pub connections: usize,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: Counters,
-    /// Commands behind one another, over all boxes.
+    /// Pipelines of the connections to all boxes.
     #[serde(default)]
     pub pipelines: Pipelines,
-    /// The boxes that are told to take nothing new and are still known, by name; at most [`MAX_PAGE`].
+    /// The boxes that receive no new requests and are still known, by name; at most [`MAX_PAGE`].
     pub leaving: Vec<BoxStatus>,
 }
 
-/// The edges of the classes of [`Pipelines::depths`]: a connection with fewer commands is in the class before.
+/// The lower bounds of the classes of [`Pipelines::depths`] from the second on, in commands per connection.
 pub const DEPTH_CLASS_BOUNDS: [usize; 4] = [1, 2, 4, 8];
 
-/// Connections to boxes, as pipelines.
+/// Statistics of connections to boxes as pipelines.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct Pipelines {
-    /// Connections that carry 0, 1, 2 to 3, 4 to 7, and 8 commands or more.
+    /// Numbers of connections that carry 0, 1, 2 to 3, 4 to 7, and 8 commands or more.
     pub depths: [usize; 5],
-    /// For how long the oldest command that is first on its connection has been the first, in milliseconds.
+    /// The longest time that a command has been the oldest on its connection, in milliseconds.
     pub oldest_head_ms: u64,
-    /// Writes that commands left in.
+    /// Socket writes with commands.
     pub writes: u64,
-    /// Commands moved to another connection before a byte of them was written.
+    /// Commands moved to another connection before any byte of them was written.
     pub moved: u64,
-    /// Connections that ended with commands on them.
+    /// Connections closed with commands in progress.
     pub breaks: u64,
-    /// Commands that were written whole on such, and may have run.
+    /// Commands that had been written completely to such connections, and may have been executed.
     pub uncertain: u64,
-    /// Connections that ended for what came when nothing was asked.
+    /// Connections closed because of unsolicited bytes.
     #[serde(default, rename = "surplus")]
     pub unsolicited: u64,
 }
 
 impl Pipelines {
-    /// Takes in other connections.
+    /// Adds the statistics of other connections.
     pub fn add(&mut self, other: &Pipelines) {
         self.depths.iter_mut().zip(other.depths).for_each(|(sum, n)| *sum += n);
         self.oldest_head_ms = self.oldest_head_ms.max(other.oldest_head_ms);
@@ -250,59 +251,59 @@
     }
 }
 
-/// The list of boxes.
+/// The state of the list of boxes.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Default)]
 pub struct List {
-    /// Discovery's number of it; nothing before the first list.
+    /// Its version in discovery; `None` before the first list.
     pub version: Option<u64>,
-    /// Since it was confirmed last, in milliseconds. One known from the configuration counts from the start.
+    /// The time since the last confirmation, in milliseconds. For a list from the configuration, the time since the start.
     pub age_ms: u64,
-    /// The last call to discovery failed.
+    /// Whether the last call to discovery failed.
     pub failing: bool,
-    /// Boxes in it.
+    /// The number of boxes in it.
     pub boxes: usize,
-    /// Those that take work.
+    /// The number of usable boxes.
     pub usable: usize,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct Counters {
-    /// Requests taken.
+    /// Requests accepted.
     pub accepted: u64,
-    /// Of these served.
+    /// Requests served.
     pub served: u64,
-    /// Refused, a repeat is harmless.
+    /// Requests refused; they are safe to retry.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Their clients left before the answer.
+    /// Requests whose client disconnected before the answer.
     pub abandoned: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Lists taken.
+    /// Lists of boxes received.
     pub lists: u64,
-    /// Pushes of boxes that speak RESP3.
+    /// RESP3 push messages from boxes.
     #[serde(default)]
     pub pushes: u64,
-    /// Wrong passwords of clients.
+    /// Failed authentications of clients.
     #[serde(default)]
     pub wrong_passwords: u64,
 }
 
-/// A list in discovery's form.
+/// A list of boxes in discovery's format.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct KnownList {
-    /// `seq`, `whole`, `hosts`; null where no list is known, or where it is too long to be told.
+    /// An object with `seq`, `whole` and `hosts`; null if no list is known, or if it is too long for a reply.
     pub known: Value,
 }
 
 /// A page of boxes.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Page {
-    /// In the order of their names.
+    /// The boxes, in the order of their names.
     pub boxes: Vec<BoxStatus>,
-    /// There are more.
+    /// Whether more boxes follow.
     pub more: bool,
 }
 
@@ -314,46 +315,47 @@
     pub name: String,
     /// Its first address.
     pub address: Option<String>,
-    /// All of them, in the list's order.
+    /// All of its addresses, in the order of the list.
     #[serde(default)]
     pub addresses: Vec<String>,
-    /// Its zone, by its name in the settings; nothing for one that they don't name.
+    /// Its zone, by its name in the settings; `None` if they don't name it.
     pub zone: Option<String>,
-    /// What discovery says: `up`, `draining`, `removed`.
+    /// Its state in discovery: `up`, `draining` or `removed`.
     pub listed: String,
-    /// An operator drained it.
+    /// Whether an operator drained it.
     pub drained: bool,
-    /// Both say that it takes work.
+    /// Whether it may receive requests, according to both discovery and operators.
     pub usable: bool,
     /// Connections to it.
     pub connections: usize,
-    /// Those of them that speak RESP3.
+    /// Connections to it that use RESP3.
     #[serde(default)]
     pub resp3: usize,
-    /// Attempts on them.
+    /// Attempts in progress on them.
     pub attempts: usize,
-    /// The same, as pipelines.
+    /// Pipelines of these connections.
     #[serde(default)]
     pub pipelines: Pipelines,
-    /// Attempts begun since this instance knows it.
+    /// Attempts sent since this instance has known it.
     pub sent: u64,
-    /// Since when the instance knows that it is to get nothing new, in milliseconds; nothing for one in use.
+    /// The time since the instance learned that the box is to receive no new requests, in milliseconds; `None` for a box
+    /// in use.
     pub leaving_ms: Option<u64>,
-    /// Attempts begun since then.
+    /// Attempts sent since then.
     pub sent_leaving: u64,
 }
 
-/// Why something was not done.
+/// The reason why a request was rejected or failed.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Error {
-    /// For programs.
+    /// The kind of error, for programs.
     pub code: Code,
-    /// For people: what was wrong, and where.
+    /// A description for people.
     pub message: String,
 }
 
 impl Error {
-    /// An error.
+    /// Creates an error.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Error { code, message: message.into() }
     }
@@ -371,32 +373,32 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
-    /// The line is too long, not JSON, or no request. The connection ends.
+    /// The line is too long, not JSON, or not a request. The connection is closed.
     BadFrame,
-    /// The version is another one.
+    /// The version of the protocol is not supported.
     Version,
-    /// The request makes no sense.
+    /// The request is invalid.
     BadRequest,
-    /// A later change is in force.
+    /// A later change, or another one with the same number, is in force.
     Stale,
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     BadConfig,
-    /// The instance is on its way out.
+    /// The instance is shutting down.
     Stopping,
-    /// What must outlive the process could not be written; nothing was changed.
+    /// The persistent state could not be written; nothing was changed.
     Storage,
 }
 
 impl Request {
-    /// A request.
+    /// Creates a request of this version.
     pub fn new(id: impl Into<String>, op: Op) -> Self {
         Request { v: VERSION, id: id.into(), op }
     }
 
-    /// Reads one line. An error comes with the request's id, as far as that could be read.
+    /// Parses a line.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The error, with the request's id or an empty string if it could not be read.
     pub fn read(line: &[u8]) -> Result<Request, (String, Error)> {
         let json: Value = serde_json::from_slice(line)
             .map_err(|e| (String::new(), Error::new(Code::BadFrame, format!("not JSON: {e}"))))?;
@@ -416,9 +418,9 @@
     }
 }
 
-/// Writes a message as a line.
+/// Encodes a message as a line.
 pub fn encode_line(message: &impl Serialize) -> Vec<u8> {
-    // These types have no maps with other keys than strings: they can always be written.
+    // Encoding can't fail: all keys of maps in these types are strings.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,52 +1,53 @@
-//! What controllers changed and a restart must not forget, and which change may follow which.
+//! The state set by controllers that survives a restart, and the order in which changes are accepted.
 
 use crate::message::{Code, Error, MAX_ID};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Boxes that may be drained by operators at once.
+/// The maximum number of boxes that operators can drain at the same time.
 pub const MAX_DRAINED: usize = 4_096;
-/// The first word of a state file.
+/// The first word of a state file: format and version.
 const MAGIC: &str = "trestle-state/1";
 
-/// What controllers changed.
+/// The persistent state set by controllers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// Number of the set of drained boxes.
+    /// Revision of the set of drained boxes.
     pub revision: u64,
-    /// The drained boxes.
+    /// Names of the drained boxes.
     pub boxes: BTreeSet<String>,
-    /// The instance itself is drained.
+    /// Whether the instance itself is drained.
     pub drained: bool,
-    /// The last order for copying, and whether that has stopped.
+    /// The last command for shadow copying, and whether copying under it has stopped.
     #[serde(default, skip_serializing_if = "is_unused")]
     pub shadow: shadow::Kept,
 }
 
-/// Guards against files that an older build can't read: what was never used is not written.
+/// A default value is not written, so that an older build can read the file of an instance that never copied reads.
 fn is_unused(kept: &shadow::Kept) -> bool {
     *kept == shadow::Kept::default()
 }
 
-/// Is a change under this number to be made?
+/// Whether a change with the number `next` is to be applied: true for a later number than `current`, false for a repetition
+/// of the change in force. `what` names the kind of number in errors, `same` says that the contents are equal.
 ///
 /// # Errors
-/// A later one is in force, or another one under the same number.
-pub fn should_apply(what: &str, now: u64, next: u64, same: bool) -> Result<bool, Error> {
-    match next.cmp(&now) {
+/// A later change is in force, or one with the same number and another content.
+pub fn should_apply(what: &str, current: u64, next: u64, same: bool) -> Result<bool, Error> {
+    match next.cmp(&current) {
         std::cmp::Ordering::Greater => Ok(true),
         std::cmp::Ordering::Equal if same => Ok(false),
         std::cmp::Ordering::Equal => {
-            Err(Error::new(Code::Stale, format!("{what} {now} is in force with another content")))
+            Err(Error::new(Code::Stale, format!("{what} {current} is in force with another content")))
         }
         std::cmp::Ordering::Less => {
-            Err(Error::new(Code::Stale, format!("{what} {next} is older than {now}, which is in force")))
+            Err(Error::new(Code::Stale, format!("{what} {next} is older than {current}, which is in force")))
         }
     }
 }
 
-fn check(name: &str) -> Result<(), Error> {
+fn validate_box_name(name: &str) -> Result<(), Error> {
     if name.is_empty() || name.len() > MAX_ID || name.chars().any(char::is_control) {
         let message = format!("{name:?} is no name of a box: 1 to {MAX_ID} bytes without control characters");
         return Err(Error::new(Code::BadRequest, message));
@@ -55,12 +56,12 @@
 }
 
 impl State {
-    /// With another set of drained boxes; nothing if that is in force already.
+    /// The state with another set of drained boxes; `None` if that set is already in force.
     ///
     /// # Errors
-    /// The set is stale, too large, or names what is no box.
+    /// The revision is stale, the set is too large, or a name is invalid.
     pub fn with_drained(&self, revision: u64, boxes: Vec<String>) -> Result<Option<State>, Error> {
-        boxes.iter().try_for_each(|name| check(name))?;
+        boxes.iter().try_for_each(|name| validate_box_name(name))?;
         let boxes: BTreeSet<String> = boxes.into_iter().collect();
         if boxes.len() > MAX_DRAINED {
             let message = format!("{} boxes are to be drained; {MAX_DRAINED} are the most", boxes.len());
@@ -70,12 +71,12 @@
         Ok(change.then(|| State { revision, boxes, ..self.clone() }))
     }
 
-    /// With one box more or less drained, under the next number; nothing if it is so already.
+    /// The state with one box drained or undrained, under the next revision; `None` if it is so already.
     ///
     /// # Errors
-    /// It is no name of a box, or there are too many.
+    /// The name is invalid, or too many boxes are drained.
     pub fn with_box_drained(&self, name: &str, drained: bool) -> Result<Option<State>, Error> {
-        check(name)?;
+        validate_box_name(name)?;
         if self.boxes.contains(name) == drained {
             return Ok(None);
         }
@@ -88,28 +89,28 @@
         self.with_drained(self.revision + 1, boxes.into_iter().collect())
     }
 
-    /// The text of a state file: a head with the length and checksum of what follows, and JSON.
+    /// The text of a state file: a header line with length and checksum of the body, and the body as JSON.
     pub fn encode(&self) -> String {
         let body = serde_json::to_string(self).unwrap_or_default();
         format!("{MAGIC} {} {:08x}\n{body}\n", body.len(), crc32fast::hash(body.as_bytes()))
     }
 
-    /// Reads a state file.
+    /// Parses the text of a state file.
     ///
     /// # Errors
-    /// It is torn, damaged, or of another version. What it said is unknown then, and must not be guessed at:
-    /// a box that was drained would be sent work again.
+    /// The file is truncated, corrupted, or of another version. A default state must not be assumed then: requests would
+    /// be sent to drained boxes again.
     pub fn decode(text: &str) -> Result<State, String> {
-        let (head, body) = text.split_once('\n').ok_or("it has no whole first line")?;
-        let mut head = head.split(' ');
-        if head.next() != Some(MAGIC) {
+        let (header, body) = text.split_once('\n').ok_or("it has no whole first line")?;
+        let mut fields = header.split(' ');
+        if fields.next() != Some(MAGIC) {
             return Err(format!("it does not begin with {MAGIC}"));
         }
-        let length: usize = head.next().and_then(|n| n.parse().ok()).ok_or("its length is missing")?;
-        let sum =
-            head.next().and_then(|n| u32::from_str_radix(n, 16).ok()).ok_or("its checksum is missing")?;
+        let length: usize = fields.next().and_then(|n| n.parse().ok()).ok_or("its length is missing")?;
+        let checksum =
+            fields.next().and_then(|n| u32::from_str_radix(n, 16).ok()).ok_or("its checksum is missing")?;
         let body = body.strip_suffix('\n').filter(|b| b.len() == length).ok_or("it is not whole")?;
-        if crc32fast::hash(body.as_bytes()) != sum {
+        if crc32fast::hash(body.as_bytes()) != checksum {
             return Err("its checksum is wrong".into());
         }
         serde_json::from_str(body).map_err(|e| format!("its content is wrong: {e}"))
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Frames in any pieces, requests of any shape, and the order of changes.
+//! Framing, parsing of requests, order of changes and state files.
 
 use control::message::{encode_line, Answer, Body, Reconfigured};
 use control::state::{should_apply, MAX_DRAINED};
@@ -7,24 +7,24 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
 
-/// Runs with a fixed seed, so that each run gives the same verdict.
+/// A runner with a fixed seed, so that each run tests the same cases.
 fn runner() -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     TestRunner::new_with_rng(Config { failure_persistence: None, cases: 512, ..Config::default() }, rng)
 }
 
 #[test]
-fn frames_are_the_same_in_whatever_pieces_they_come() {
+fn frames_do_not_depend_on_how_the_input_is_split() {
     let lines = prop::collection::vec("[a-z{}\": ]{0,40}", 0..8);
-    let cuts = prop::collection::vec(1usize..9, 1..40);
+    let piece_lengths = prop::collection::vec(1usize..9, 1..40);
     runner()
-        .run(&(lines, cuts), |(lines, cuts)| {
+        .run(&(lines, piece_lengths), |(lines, piece_lengths)| {
             let text: String = lines.iter().map(|l| format!("{l}\n")).collect();
             let mut decoder = Decoder::new(64);
             let mut found = Vec::new();
-            let (mut rest, mut cuts) = (text.as_bytes(), cuts.into_iter().cycle());
+            let (mut rest, mut piece_lengths) = (text.as_bytes(), piece_lengths.into_iter().cycle());
             while !rest.is_empty() {
-                let n = cuts.next().expect("a cycle").min(rest.len());
+                let n = piece_lengths.next().expect("endless").min(rest.len());
                 let mut piece = &rest[..n];
                 rest = &rest[n..];
                 while !piece.is_empty() {
@@ -34,8 +34,8 @@
                     piece = &piece[used..];
                 }
             }
-            let wanted: Vec<String> = lines.into_iter().filter(|l| !l.is_empty()).collect();
-            prop_assert_eq!(found, wanted);
+            let expected: Vec<String> = lines.into_iter().filter(|l| !l.is_empty()).collect();
+            prop_assert_eq!(found, expected);
             prop_assert!(!decoder.has_partial_frame());
             Ok(())
         })
@@ -43,16 +43,16 @@
 }
 
 #[test]
-fn a_frame_past_its_bound_is_refused_before_it_is_kept() {
+fn a_frame_over_its_limit_is_rejected_before_it_is_buffered() {
     let mut decoder = Decoder::new(8);
     assert_eq!(decoder.feed(b"12345678"), Ok((8, None)));
     assert!(decoder.feed(b"9").is_err());
-    assert!(!decoder.has_partial_frame(), "nothing of it is kept");
+    assert!(!decoder.has_partial_frame(), "nothing of it is buffered");
     assert!(Decoder::new(8).feed(&[b'x'; 60 << 20]).is_err());
 }
 
 #[test]
-fn requests_are_read_and_what_is_none_is_named() {
+fn requests_are_parsed_and_invalid_ones_are_rejected_with_the_reason() {
     let read = Request::read(br#"{"v":1,"id":"7","op":"drain-box","box":"s-1"}"#).expect("good");
     assert_eq!(read, Request::new("7", Op::DrainBox { name: "s-1".into() }));
     for (bad, code, id, named) in [
@@ -70,20 +70,20 @@
         assert_eq!((got.as_str(), error.code), (id, code), "{bad}");
         assert!(error.message.contains(named), "{bad}: {error}");
     }
-    // Nested too deeply: an error, not a stack that overflows.
+    // JSON that is nested too deeply is an error, not a stack overflow.
     let deep = [b"{\"v\":1,\"id\":".to_vec(), vec![b'['; 100_000]].concat();
     assert_eq!(Request::read(&deep).expect_err("deep").1.code, Code::BadFrame);
 }
 
 #[test]
-fn replies_come_back_as_they_were_written() {
-    let done = Reconfigured {
+fn replies_survive_encoding_and_decoding() {
+    let reconfigured = Reconfigured {
         generation: 4,
         applied: true,
         changes: vec!["discovery".into()],
         needs_restart: vec![],
     };
-    let reply = Reply { v: VERSION, id: "9".into(), body: Body::Ok(Answer::Reconfigured(done)) };
+    let reply = Reply { v: VERSION, id: "9".into(), body: Body::Ok(Answer::Reconfigured(reconfigured)) };
     let text = encode_line(&reply);
     assert_eq!(serde_json::from_slice::<Reply>(&text).expect("good"), reply);
     let json: serde_json::Value = serde_json::from_slice(&text).expect("JSON");
@@ -91,27 +91,27 @@
 }
 
 #[test]
-fn only_later_changes_follow_and_the_same_one_twice_is_one() {
+fn stale_changes_are_rejected_and_a_repeated_change_has_no_effect() {
     let state = State::default();
     let drained =
         |r: u64, names: &[&str]| state.with_drained(r, names.iter().map(|n| n.to_string()).collect());
     assert_eq!(drained(0, &[]), Ok(None));
     assert_eq!(drained(0, &["a"]).expect_err("same number").code, Code::Stale);
-    let one = drained(3, &["a", "b", "a"]).expect("good").expect("new");
-    assert_eq!((one.revision, one.boxes.len()), (3, 2));
-    assert_eq!(one.with_drained(2, vec![]).expect_err("older").code, Code::Stale);
-    assert_eq!(one.with_drained(3, vec!["b".into(), "a".into()]), Ok(None));
-    assert_eq!(one.with_box_drained("a", true), Ok(None));
-    let two = one.with_box_drained("a", false).expect("good").expect("new");
-    assert_eq!((two.revision, two.boxes.len()), (4, 1));
+    let first = drained(3, &["a", "b", "a"]).expect("good").expect("new");
+    assert_eq!((first.revision, first.boxes.len()), (3, 2));
+    assert_eq!(first.with_drained(2, vec![]).expect_err("older").code, Code::Stale);
+    assert_eq!(first.with_drained(3, vec!["b".into(), "a".into()]), Ok(None));
+    assert_eq!(first.with_box_drained("a", true), Ok(None));
+    let second = first.with_box_drained("a", false).expect("good").expect("new");
+    assert_eq!((second.revision, second.boxes.len()), (4, 1));
     assert!(should_apply("generation", 4, 5, false).expect("good"));
-    assert_eq!(one.with_box_drained("", true).expect_err("no name").code, Code::BadRequest);
+    assert_eq!(first.with_box_drained("", true).expect_err("no name").code, Code::BadRequest);
     let many = (0..=MAX_DRAINED).map(|i| i.to_string()).collect();
-    assert_eq!(one.with_drained(9, many).expect_err("too many").code, Code::BadRequest);
+    assert_eq!(first.with_drained(9, many).expect_err("too many").code, Code::BadRequest);
 }
 
 #[test]
-fn a_state_file_that_is_torn_or_damaged_is_never_taken_for_a_whole_one() {
+fn a_truncated_or_corrupted_state_file_is_rejected() {
     let boxes = ["s-1".into(), "s-2".into()].into();
     let state = State { revision: 7, boxes, drained: true, ..State::default() };
     let text = state.encode();
