--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! The API of an agent, from the outside.
+//! Client of the HTTP API of an agent.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
@@ -14,15 +14,15 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpStream, UnixStream};
 
-/// An agent answers within this, but for a watch.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The timeout of a request to an agent, except for a watch.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where an agent is.
+/// The address of an agent's API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Address {
-    /// A Unix-domain socket.
+    /// The path of a Unix-domain socket.
     Socket(PathBuf),
-    /// TCP, with a token.
+    /// A TCP address; requests carry a token.
     Tcp(SocketAddr),
 }
 
@@ -32,7 +32,7 @@
     fn from_str(text: &str) -> Result<Self, String> {
         if let Some(address) = text.strip_prefix("http://") {
             let address = address.trim_end_matches('/').parse();
-            return address.map(Address::Tcp).map_err(|_| format!("{text}: http://ADDRESS:PORT is wanted"));
+            return address.map(Address::Tcp).map_err(|_| format!("{text}: expected http://ADDRESS:PORT"));
         }
         let path = text.strip_prefix("unix:").unwrap_or(text);
         if path.is_empty() {
@@ -51,80 +51,86 @@
     }
 }
 
-/// Why there is no answer that helps.
+/// The reason reason a request did not succeed.
 #[derive(Debug)]
-pub enum Failure {
-    /// The agent can't be reached: nothing was done.
+pub enum RequestError {
+    /// The agent can't be reached; nothing was done.
     Unreachable(String),
-    /// The contact broke, or the answer did not come: it may have been done.
+    /// The connection was lost, or the request timed out; it may have been executed.
     Unknown(String),
-    /// The agent will not do it.
+    /// The agent rejected the request: the HTTP status and the reason.
     Refused(u16, String),
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Failure::Unreachable(why) => write!(f, "{why}"),
-            Failure::Unknown(why) => write!(f, "{why}; it may have been done"),
-            Failure::Refused(_, why) => f.write_str(why),
+            RequestError::Unreachable(reason) => write!(f, "{reason}"),
+            RequestError::Unknown(reason) => write!(f, "{reason}; it may have been done"),
+            RequestError::Refused(_, reason) => f.write_str(reason),
         }
     }
 }
 
-/// An agent.
+/// An agent and the credentials for it.
 #[derive(Clone, Debug)]
 pub struct Agent {
-    /// Where it is.
+    /// The address of its API.
     pub address: Address,
-    /// What it wants over TCP.
+    /// The bearer token, required over TCP.
     pub token: Option<String>,
 }
 
 impl Agent {
-    /// Asks for something; its JSON.
-    pub async fn ask(&self, method: Method, path: &str, body: Option<&Value>) -> Result<Value, Failure> {
-        self.ask_for(method, path, body, PATIENCE).await
+    /// Sends a request and returns the JSON of the response.
+    pub async fn request(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<&Value>,
+    ) -> Result<Value, RequestError> {
+        self.request_with_timeout(method, path, body, REQUEST_TIMEOUT).await
     }
 
-    /// The same, with another patience.
-    pub async fn ask_for(
+    /// Like [`Agent::request`], with another timeout.
+    pub async fn request_with_timeout(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-        patience: Duration,
-    ) -> Result<Value, Failure> {
+        timeout: Duration,
+    ) -> Result<Value, RequestError> {
         let unreachable = |e: std::io::Error| {
             let hint = "does trestle-agent run, and is --agent right?";
-            Failure::Unreachable(format!("{}: can't be reached: {e}; {hint}", self.address))
+            RequestError::Unreachable(format!("{}: can't be reached: {e}; {hint}", self.address))
         };
-        let asked = async {
+        let response = async {
             match &self.address {
-                Address::Socket(path_) => {
-                    let stream = UnixStream::connect(path_).await.map_err(unreachable)?;
-                    self.talk(stream, method, path, body).await
+                Address::Socket(socket_path) => {
+                    let stream = UnixStream::connect(socket_path).await.map_err(unreachable)?;
+                    self.exchange(stream, method, path, body).await
                 }
                 Address::Tcp(address) => {
                     let stream = TcpStream::connect(address).await.map_err(unreachable)?;
-                    self.talk(stream, method, path, body).await
+                    self.exchange(stream, method, path, body).await
                 }
             }
         };
-        let late = || Failure::Unknown(format!("{}: no answer within {patience:?}", self.address));
-        tokio::time::timeout(patience, asked).await.unwrap_or_else(|_| Err(late()))
+        let timed_out = || RequestError::Unknown(format!("{}: no answer within {timeout:?}", self.address));
+        tokio::time::timeout(timeout, response).await.unwrap_or_else(|_| Err(timed_out()))
     }
 
-    async fn talk(
+    async fn exchange(
         &self,
         stream: impl AsyncRead + AsyncWrite + Unpin + Send + 'static,
         method: Method,
         path: &str,
         body: Option<&Value>,
-    ) -> Result<Value, Failure> {
-        let broke = |e: hyper::Error| Failure::Unknown(format!("{}: contact lost: {e}", self.address));
+    ) -> Result<Value, RequestError> {
+        let connection_lost =
+            |e: hyper::Error| RequestError::Unknown(format!("{}: connection lost: {e}", self.address));
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(broke)?;
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(connection_lost)?;
         tokio::spawn(connection);
         let mut request = Request::builder().method(method).uri(path).header(HOST, "agent");
         if let Some(token) = &self.token {
@@ -133,15 +139,15 @@
         let body = body.map(Value::to_string).unwrap_or_default();
         let request = request
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| Failure::Refused(400, format!("the request can't be made: {e}")))?;
-        let response = sender.send_request(request).await.map_err(broke)?;
+            .map_err(|e| RequestError::Refused(400, format!("the request can't be made: {e}")))?;
+        let response = sender.send_request(request).await.map_err(connection_lost)?;
         let status = response.status();
-        let bytes = response.into_body().collect().await.map_err(broke)?.to_bytes();
+        let bytes = response.into_body().collect().await.map_err(connection_lost)?.to_bytes();
         let value: Value = serde_json::from_slice(&bytes).unwrap_or_default();
         if status.is_success() {
             return Ok(value);
         }
         let message = value["error"]["message"].as_str().unwrap_or("no reason was given");
-        Err(Failure::Refused(status.as_u16(), format!("{}: {message}", self.address)))
+        Err(RequestError::Refused(status.as_u16(), format!("{}: {message}", self.address)))
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! trestlectl: starts, steers and inspects fleets of trestlesill proxies.
+//! trestlectl: starts, controls and inspects fleets of trestlesill proxies.
 
 mod client;
 mod dev;
@@ -7,14 +7,14 @@
 mod shadow;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use client::{Address, Agent, Failure};
-use run::{Exit, Voice};
+use client::{Address, Agent, RequestError};
+use run::{Exit, Output};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Starts, steers and inspects fleets of trestlesill proxies.
+/// Starts, controls and inspects fleets of trestlesill proxies.
 #[derive(Debug, Parser)]
 #[command(
     name = "trestlectl",
@@ -22,7 +22,7 @@
     after_help = "Exit codes: 0 done, 1 failed, 2 usage, 3 partly done or unknown."
 )]
 struct Cli {
-    /// An agent: a socket's path, unix:PATH or http://ADDRESS:PORT. May be given more than once.
+    /// An agent: the path of a socket, unix:PATH or http://ADDRESS:PORT. Can be repeated.
     #[arg(
         long,
         global = true,
@@ -31,19 +31,19 @@
         default_value = "/run/trestle-agent/api.sock"
     )]
     agent: Vec<Address>,
-    /// The file with the token that agents want over TCP.
+    /// The file with the token for agents over TCP.
     #[arg(long, global = true, env = "TRESTLE_TOKEN_FILE")]
     token_file: Option<PathBuf>,
-    /// Print JSON, one object a line.
+    /// Print JSON, one object per line.
     #[arg(long, global = true)]
     json: bool,
-    /// How many seconds to wait until it is done; 0 only gives the command.
+    /// How many seconds to wait for the end of the operation; 0 only submits the command.
     #[arg(long, global = true, default_value_t = 120)]
     wait: u64,
-    /// Do it though nothing would be left that serves.
+    /// Execute the command even if no instance or box would remain in service.
     #[arg(long, global = true)]
     force: bool,
-    /// The generation that this was decided on; by default the one in force now.
+    /// The generation that the command is based on; by default the current one.
     #[arg(long, global = true)]
     base: Option<u64>,
     #[command(subcommand)]
@@ -51,119 +51,119 @@
 }
 
 #[derive(Debug, clap::Args)]
-struct Names {
-    /// Instances.
+struct InstanceNames {
+    /// Names of instances.
     names: Vec<String>,
-    /// All of them.
+    /// All instances.
     #[arg(long, conflicts_with = "names", required_unless_present = "names")]
     all: bool,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run instances.
-    Up(Names),
-    /// End instances, after what they have taken is answered.
-    Down(Names),
-    /// Tell the state of the fleet.
+    /// Start instances.
+    Up(InstanceNames),
+    /// Stop instances after requests in progress are answered.
+    Down(InstanceNames),
+    /// Print the state of the fleet.
     Status,
-    /// Tell all of an instance, with the boxes as it sees them.
+    /// Print the full state of an instance, with the boxes as it sees them.
     Inspect {
-        /// The instance.
+        /// Name of the instance.
         name: String,
     },
-    /// Make the fleet what a file says.
+    /// Apply a fleet's file.
     Apply {
         /// A fleet's file.
         file: PathBuf,
-        /// Only show the difference.
+        /// Only print what would change.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Have instances take nothing new.
-    Drain(Names),
-    /// Have drained instances serve again.
-    Undrain(Names),
-    /// Have no instance send these boxes anything new.
+    /// Stop instances from accepting new requests.
+    Drain(InstanceNames),
+    /// Return drained instances to service.
+    Undrain(InstanceNames),
+    /// Stop all instances from sending new requests to boxes.
     DrainBox {
-        /// Boxes, by their names in discovery.
+        /// Names of boxes in discovery.
         #[arg(required = true)]
         boxes: Vec<String>,
     },
-    /// Let discovery decide about these boxes again.
+    /// Follow discovery again for drained boxes.
     UndrainBox {
-        /// Boxes.
+        /// Names of boxes in discovery.
         #[arg(required = true)]
         boxes: Vec<String>,
     },
-    /// Look at the rollout under way, or steer it.
+    /// Print or control the current rollout.
     Rollout {
         #[command(subcommand)]
-        what: Rollout,
+        command: Rollout,
     },
-    /// Restart instances one after another, within the fleet's policy.
+    /// Restart instances in a rollout, within the fleet's policy.
     Restart {
-        /// Never more at once than the policy allows. There is no other way.
+        /// Restart no more instances at the same time than the policy allows. Required: there is no other mode.
         #[arg(long, required = true)]
         rolling: bool,
-        /// Instances; all of them where none is named.
+        /// Names of instances; all by default.
         names: Vec<String>,
     },
-    /// Copy some reads to boxes that are not in service yet, and compare.
+    /// Copy reads to boxes that are not in service yet, and compare the answers.
     Shadow {
         #[command(subcommand)]
-        what: shadow::Command,
+        command: shadow::Command,
     },
-    /// Tell how an operation stands.
+    /// Print the state of an operation.
     Operation {
-        /// Its id.
+        /// Id of the operation.
         id: String,
     },
-    /// Tell of changes until it is ended.
+    /// Print the state of the fleet after each change, until interrupted.
     Watch,
     /// Check a fleet's file, an operator's file, or a proxy's configuration (.json).
     Check {
-        /// Files.
+        /// Paths of the files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
     /// Hash a password for the operator's file, read as a line from standard input.
     Password {
-        /// Make one by chance instead, and print it first.
+        /// Generate a random password instead, and print it first.
         #[arg(long)]
         generate: bool,
     },
-    /// Print completions for a shell.
+    /// Print the completion script of a shell.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
-    /// Run proxies on this machine before stand-in boxes and a discovery, until SIGINT or SIGTERM.
+    /// Run proxies on this machine with simulated boxes and discovery, until SIGINT or SIGTERM.
     Dev(dev::Options),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Subcommand)]
 enum Rollout {
-    /// How it stands.
+    /// Print its state.
     Status,
-    /// Begin no further instance.
+    /// Update no further instance.
     Pause,
-    /// Go on; what failed is tried again.
+    /// Continue; failed instances are retried.
     Resume,
-    /// End it, and take back what it changed.
+    /// Stop it, and roll back its changes.
     Abort,
 }
 
-fn check(files: &[PathBuf], voice: Voice) -> Exit {
+fn check(files: &[PathBuf], output: Output) -> Exit {
     let mut exit = Exit::Done;
     for path in files {
         match file::check(path) {
-            Ok(kind) => voice.say(&json!({"file": path, "kind": kind, "faults": []}), || {
+            Ok(kind) => output.print(&json!({"file": path, "kind": kind, "faults": []}), || {
                 format!("{}: {kind}, good", path.display())
             }),
             Err(faults) => {
-                if voice.json {
-                    voice.say(&json!({"file": path, "faults": faults}), String::new);
+                if output.json {
+                    output.print(&json!({"file": path, "faults": faults}), String::new);
                 }
                 faults.iter().for_each(|f| eprintln!("trestlectl: {f}"));
                 exit = Exit::Failed;
@@ -173,76 +173,83 @@
     exit
 }
 
-/// Runs something at all agents at once.
-async fn everywhere<F: std::future::Future<Output = Exit> + 'static>(
+/// Runs a command on all agents concurrently, and combines the outcomes.
+async fn on_all_agents<F: std::future::Future<Output = Exit> + 'static>(
     agents: &[Agent],
-    one: impl Fn(Agent) -> F,
+    run_on_agent: impl Fn(Agent) -> F,
 ) -> Exit {
     let local = tokio::task::LocalSet::new();
-    let tasks: Vec<_> = agents.iter().map(|a| local.spawn_local(one(a.clone()))).collect();
+    let tasks: Vec<_> = agents.iter().map(|a| local.spawn_local(run_on_agent(a.clone()))).collect();
     local.await;
     let mut exits = Vec::new();
     for task in tasks {
         exits.push(task.await.unwrap_or(Exit::Failed));
     }
-    run::all(exits)
+    run::combine(exits)
 }
 
-/// Gives each agent the command for those of the named instances that it has.
-async fn at_owners(agents: &[Agent], named: &Names, verb: &str, cli: &Cli, voice: Voice) -> Exit {
-    // Either names or `--all`: without names they are all.
-    let owned = run::owners(agents, &named.names, voice).await;
-    if !owned.missing.is_empty() {
-        owned.complain();
+/// Submits to each agent the command for those of the named instances that it has.
+async fn submit_to_owners(
+    agents: &[Agent],
+    named: &InstanceNames,
+    verb: &str,
+    cli: &Cli,
+    output: Output,
+) -> Exit {
+    // The options require either names or `--all`, so no names means all instances.
+    let owners = run::find_owners(agents, &named.names, output).await;
+    if !owners.missing.is_empty() {
+        owners.report_missing();
         return Exit::Failed;
     }
     let (force, base) = (cli.force, cli.base);
     let mut exits = Vec::new();
-    for (agent, own) in &owned.at {
-        exits.push(run::give(agent, &json!({ verb: own }), force, base, voice).await);
+    for (agent, names) in &owners.by_agent {
+        exits.push(run::submit(agent, &json!({ verb: names }), force, base, output).await);
     }
-    if owned.unreached {
+    if owners.has_unreachable_agent {
         exits.push(Exit::Failed);
     }
-    run::all(exits)
+    run::combine(exits)
 }
 
-async fn execute(cli: &Cli, agents: &[Agent], voice: Voice) -> Exit {
+async fn execute(cli: &Cli, agents: &[Agent], output: Output) -> Exit {
     let (force, base) = (cli.force, cli.base);
-    let give = |command: Value| async move {
-        everywhere(agents, |agent| {
+    let submit = |command: Value| async move {
+        on_all_agents(agents, |agent| {
             let command = command.clone();
-            async move { run::give(&agent, &command, force, base, voice).await }
+            async move { run::submit(&agent, &command, force, base, output).await }
         })
         .await
     };
     match &cli.command {
-        Command::Up(n) => at_owners(agents, n, "up", cli, voice).await,
-        Command::Down(n) => at_owners(agents, n, "down", cli, voice).await,
-        Command::Drain(n) => at_owners(agents, n, "drain", cli, voice).await,
-        Command::Undrain(n) => at_owners(agents, n, "undrain", cli, voice).await,
-        Command::DrainBox { boxes } => give(json!({"drain-boxes": boxes})).await,
-        Command::UndrainBox { boxes } => give(json!({"undrain-boxes": boxes})).await,
-        Command::Restart { names, .. } if names.is_empty() => give(json!({"restart": []})).await,
+        Command::Up(n) => submit_to_owners(agents, n, "up", cli, output).await,
+        Command::Down(n) => submit_to_owners(agents, n, "down", cli, output).await,
+        Command::Drain(n) => submit_to_owners(agents, n, "drain", cli, output).await,
+        Command::Undrain(n) => submit_to_owners(agents, n, "undrain", cli, output).await,
+        Command::DrainBox { boxes } => submit(json!({"drain-boxes": boxes})).await,
+        Command::UndrainBox { boxes } => submit(json!({"undrain-boxes": boxes})).await,
+        Command::Restart { names, .. } if names.is_empty() => submit(json!({"restart": []})).await,
         Command::Restart { names, .. } => {
-            let named = Names { names: names.clone(), all: false };
-            at_owners(agents, &named, "restart", cli, voice).await
+            let named = InstanceNames { names: names.clone(), all: false };
+            submit_to_owners(agents, &named, "restart", cli, output).await
         }
-        Command::Rollout { what } => match what {
+        Command::Rollout { command } => match command {
             Rollout::Status => {
-                everywhere(agents, |a| async move { run::status(&a, Some("rollout"), voice).await }).await
+                on_all_agents(agents, |a| async move { run::status(&a, Some("rollout"), output).await }).await
             }
-            Rollout::Pause => give(json!("pause")).await,
-            Rollout::Resume => give(json!("resume")).await,
-            Rollout::Abort => give(json!("abort")).await,
+            Rollout::Pause => submit(json!("pause")).await,
+            Rollout::Resume => submit(json!("resume")).await,
+            Rollout::Abort => submit(json!("abort")).await,
         },
-        Command::Status => everywhere(agents, |a| async move { run::status(&a, None, voice).await }).await,
-        Command::Watch => everywhere(agents, |a| async move { run::watch(&a, voice).await }).await,
+        Command::Status => {
+            on_all_agents(agents, |a| async move { run::status(&a, None, output).await }).await
+        }
+        Command::Watch => on_all_agents(agents, |a| async move { run::watch(&a, output).await }).await,
         Command::Inspect { name } => {
-            // The agent that has it.
             for agent in agents {
-                if run::names(agent).await.is_ok_and(|known| known.contains(name)) {
-                    return run::inspect(agent, name, voice).await;
+                if run::instance_names(agent).await.is_ok_and(|known| known.contains(name)) {
+                    return run::inspect(agent, name, output).await;
                 }
             }
             eprintln!("trestlectl: no agent that answers has {name}; see: trestlectl status");
@@ -250,27 +257,32 @@
         }
         Command::Operation { id } => {
             for agent in agents {
-                let known = agent.ask(hyper::Method::GET, &format!("/v1/operations/{id}"), None).await;
-                if !matches!(known, Err(Failure::Refused(404, _))) {
-                    return run::follow(agent, id, Instant::now(), Voice { wait: Duration::ZERO, ..voice })
-                        .await;
+                let known = agent.request(hyper::Method::GET, &format!("/v1/operations/{id}"), None).await;
+                if !matches!(known, Err(RequestError::Refused(404, _))) {
+                    return run::wait_for_operation(
+                        agent,
+                        id,
+                        Instant::now(),
+                        Output { wait: Duration::ZERO, ..output },
+                    )
+                    .await;
                 }
             }
-            eprintln!("trestlectl: no agent knows operation {id}, or it is long over");
+            eprintln!("trestlectl: no agent knows operation {id}; it may have finished long ago");
             Exit::Failed
         }
         Command::Apply { file, dry_run } => {
             let [agent] = agents else {
-                eprintln!("trestlectl: a fleet's file is for one agent; name it by --agent");
+                eprintln!("trestlectl: a fleet's file applies to one agent; select it with --agent");
                 return Exit::Failed;
             };
             match file::load(file) {
                 Ok(desired) => {
                     let command = json!({ "apply": desired });
                     if *dry_run {
-                        run::dry_run(agent, &command, force, voice).await
+                        run::dry_run(agent, &command, force, output).await
                     } else {
-                        run::give(agent, &command, force, base, voice).await
+                        run::submit(agent, &command, force, base, output).await
                     }
                 }
                 Err(faults) => {
@@ -279,17 +291,20 @@
                 }
             }
         }
-        Command::Shadow { what } => shadow::execute(what, agents, force, voice).await,
-        Command::Check { files } => check(files, voice),
+        Command::Shadow { command } => shadow::execute(command, agents, force, output).await,
+        Command::Check { files } => check(files, output),
         Command::Completions { .. } | Command::Dev(_) | Command::Password { .. } => Exit::Done,
     }
 }
 
-/// Prints a password as the operator's file has it.
+/// Random bytes of a generated password, which is printed in hexadecimal.
+const GENERATED_PASSWORD_BYTES: usize = 24;
+
+/// Prints the hash of a password, in the form that the operator's file expects.
 fn password(generate: bool, json: bool) -> Result<(), Box<dyn std::error::Error>> {
-    let mut chance = [0; 24 + session::SALT_BYTES];
-    getrandom::fill(&mut chance)?;
-    let (secret, salt) = chance.split_at(24);
+    let mut random = [0; GENERATED_PASSWORD_BYTES + session::SALT_BYTES];
+    getrandom::fill(&mut random)?;
+    let (secret, salt) = random.split_at(GENERATED_PASSWORD_BYTES);
     let mut plain = hex::encode(secret);
     if !generate {
         plain.clear();
@@ -298,7 +313,7 @@
     }
     if plain.is_empty() || plain.len() > session::MAX_PASSWORD_BYTES {
         return Err(format!(
-            "a password has 1 to {} bytes; this has {}",
+            "a password must have 1 to {} bytes, got {}",
             session::MAX_PASSWORD_BYTES,
             plain.len()
         )
@@ -314,7 +329,7 @@
     Ok(())
 }
 
-fn begin(cli: &Cli) -> Result<Exit, Box<dyn std::error::Error>> {
+fn run_command(cli: &Cli) -> Result<Exit, Box<dyn std::error::Error>> {
     match &cli.command {
         Command::Dev(options) => return dev::run(options, cli.json).map(|()| Exit::Done),
         Command::Password { generate } => return password(*generate, cli.json).map(|()| Exit::Done),
@@ -333,13 +348,13 @@
     };
     let agents: Vec<Agent> =
         cli.agent.iter().map(|a| Agent { address: a.clone(), token: token.clone() }).collect();
-    let voice = Voice { json: cli.json, wait: Duration::from_secs(cli.wait) };
+    let output = Output { json: cli.json, wait: Duration::from_secs(cli.wait) };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    Ok(runtime.block_on(execute(cli, &agents, voice)))
+    Ok(runtime.block_on(execute(cli, &agents, output)))
 }
 
 fn main() -> ExitCode {
-    match begin(&Cli::parse()) {
+    match run_command(&Cli::parse()) {
         Ok(exit) => ExitCode::from(exit as u8),
         Err(e) => {
             eprintln!("trestlectl: {e}");
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,55 +1,58 @@
-//! Commands that go to agents.
+//! Commands that are sent to agents, and their output.
 
-use crate::client::{Agent, Failure};
+use crate::client::{Agent, RequestError};
 use hyper::Method;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::{json, Value};
 use std::io::{IsTerminal, Write};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often an operation is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+/// The interval of polling, and of retries.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a command ended: the exit codes.
+/// The outcome of a command, as an exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exit {
-    /// All of it is done.
+    /// The command succeeded.
     Done = 0,
-    /// Nothing of it is done, or it went wrong.
+    /// The command failed.
     Failed = 1,
-    /// Part of it is done, or that is not known.
+    /// The command succeeded in part, or its outcome is unknown.
     Unknown = 3,
 }
 
-/// How to say it.
+/// Options of output and waiting.
 #[derive(Clone, Copy, Debug)]
-pub struct Voice {
-    /// As JSON, one object a line.
+pub struct Output {
+    /// Print JSON, one object per line.
     pub json: bool,
-    /// How long to wait for an operation.
+    /// How long to wait for the end of an operation.
     pub wait: Duration,
 }
 
-impl Voice {
-    /// Says something that was asked for.
-    pub fn say(&self, value: &Value, text: impl FnOnce() -> String) {
+impl Output {
+    /// Prints a result to standard output, as JSON or as text.
+    pub fn print(&self, value: &Value, text: impl FnOnce() -> String) {
         let line = if self.json { value.to_string() } else { text() };
-        // Who has closed the pipe wants no more.
+        // A closed pipe is not an error: the reader needs no more output.
         let _ = writeln!(std::io::stdout(), "{line}");
     }
 
-    /// Says why something was not done.
-    pub fn complain(&self, agent: &Agent, why: &str) {
+    /// Reports to standard error why a command failed; with JSON, also to standard output.
+    pub fn report_error(&self, agent: &Agent, reason: &str) {
         if self.json {
-            let _ =
-                writeln!(std::io::stdout(), "{}", json!({"agent": agent.address.to_string(), "error": why}));
+            let _ = writeln!(
+                std::io::stdout(),
+                "{}",
+                json!({"agent": agent.address.to_string(), "error": reason})
+            );
         }
-        eprintln!("trestlectl: {why}");
+        eprintln!("trestlectl: {reason}");
     }
 }
 
-/// One exit for many agents: done only where all are, failed only where all are.
-pub fn all(exits: impl IntoIterator<Item = Exit>) -> Exit {
+/// Combines the outcomes of several agents: an outcome that all share, else [`Exit::Unknown`].
+pub fn combine(exits: impl IntoIterator<Item = Exit>) -> Exit {
     let exits: Vec<Exit> = exits.into_iter().collect();
     match exits.first() {
         Some(first) if exits.iter().all(|e| e == first) => *first,
@@ -58,109 +61,116 @@
     }
 }
 
-/// An id that no other operation has.
+/// A unique id for an operation.
 fn new_id() -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("ctl-{:x}-{:x}", now.as_nanos(), std::process::id())
 }
 
-/// Gives a command to an agent, and waits until it is done.
-pub async fn give(agent: &Agent, command: &Value, force: bool, base: Option<u64>, voice: Voice) -> Exit {
-    let begun = Instant::now();
+/// Submits a command to an agent, and waits for the end of the operation.
+pub async fn submit(agent: &Agent, command: &Value, force: bool, base: Option<u64>, output: Output) -> Exit {
+    let started = Instant::now();
     let base = match base {
         Some(base) => base,
-        None => match agent.ask(Method::GET, "/v1/fleet", None).await {
+        None => match agent.request(Method::GET, "/v1/fleet", None).await {
             Ok(fleet) => fleet["generation"].as_u64().unwrap_or(0),
             Err(e) => {
-                voice.complain(agent, &e.to_string());
+                output.report_error(agent, &e.to_string());
                 return Exit::Failed;
             }
         },
     };
     let id = new_id();
-    let write = json!({"id": id, "base": base, "force": force, "command": command});
-    // Said again under the same id it is still one operation: so it may be, until the agent has answered.
-    let mut tried = false;
+    let request = json!({"id": id, "base": base, "force": force, "command": command});
+    // A retry with the same id is the same operation, so the request is retried until the agent has answered.
+    let mut may_have_arrived = false;
     loop {
-        match agent.ask(Method::POST, "/v1/operations", Some(&write)).await {
+        match agent.request(Method::POST, "/v1/operations", Some(&request)).await {
             Ok(_) => break,
-            Err(Failure::Refused(_, why)) => {
-                voice.complain(agent, &why);
+            Err(RequestError::Refused(_, reason)) => {
+                output.report_error(agent, &reason);
                 return Exit::Failed;
             }
-            Err(Failure::Unreachable(why)) if !tried => {
-                voice.complain(agent, &why);
+            Err(RequestError::Unreachable(reason)) if !may_have_arrived => {
+                output.report_error(agent, &reason);
                 return Exit::Failed;
             }
-            Err(e) if begun.elapsed() >= voice.wait => {
-                voice.complain(agent, &format!("{e}; see later with: trestlectl operation {id}"));
+            Err(e) if started.elapsed() >= output.wait => {
+                output.report_error(agent, &format!("{e}; check later with: trestlectl operation {id}"));
                 return Exit::Unknown;
             }
-            Err(_) => tried = true,
+            Err(_) => may_have_arrived = true,
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    follow(agent, &id, begun, voice).await
+    wait_for_operation(agent, &id, started, output).await
 }
 
-/// Waits until an operation is over.
-pub async fn follow(agent: &Agent, id: &str, begun: Instant, voice: Voice) -> Exit {
-    let bar = (!voice.json && std::io::stderr().is_terminal()).then(|| {
+/// Waits for the end of an operation, and prints its outcome.
+pub async fn wait_for_operation(agent: &Agent, id: &str, started: Instant, output: Output) -> Exit {
+    let bar = (!output.json && std::io::stderr().is_terminal()).then(|| {
         let style = ProgressStyle::with_template("{msg} [{bar:30}] {pos}/{len}");
         ProgressBar::new(1).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
     });
     loop {
         let path = format!("/v1/operations/{id}");
-        let told = agent.ask(Method::GET, &path, None).await;
-        let state = match &told {
+        let response = agent.request(Method::GET, &path, None).await;
+        let state = match &response {
             Ok(value) => &value["state"],
-            Err(Failure::Refused(_, why)) => {
-                voice.complain(agent, why);
+            Err(RequestError::Refused(_, reason)) => {
+                output.report_error(agent, reason);
                 return Exit::Failed;
             }
             Err(_) => &Value::Null,
         };
         let outcome = state["outcome"].as_str().unwrap_or("unknown").to_owned();
-        if let (Some(bar), Some(all)) = (&bar, state["instances"].as_object()) {
-            bar.set_length(all.len() as u64);
-            bar.set_position(all.values().filter(|s| *s == "applied" || *s == "down").count() as u64);
+        if let (Some(bar), Some(instances)) = (&bar, state["instances"].as_object()) {
+            bar.set_length(instances.len() as u64);
+            bar.set_position(instances.values().filter(|s| *s == "applied" || *s == "down").count() as u64);
             bar.set_message(state["detail"].as_str().unwrap_or_default().to_owned());
         }
         let exit = match outcome.as_str() {
             "applied" | "down" => Some(Exit::Done),
             "failed" | "superseded" => Some(Exit::Failed),
-            _ if begun.elapsed() >= voice.wait => Some(Exit::Unknown),
+            _ if started.elapsed() >= output.wait => Some(Exit::Unknown),
             _ => None,
         };
         let Some(exit) = exit else {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
         if let Some(bar) = &bar {
             bar.finish_and_clear();
         }
         let agent_name = agent.address.to_string();
-        voice.say(&json!({"agent": agent_name, "operation": id, "outcome": outcome, "state": state}), || {
-            let open = state["instances"].as_object().into_iter().flatten();
-            let open: Vec<String> = open
-                .filter(|(_, s)| *s != "applied" && *s != "down")
-                .map(|(n, s)| format!("{n} {}", s.as_str().unwrap_or_default()))
-                .collect();
-            let detail = state["detail"]
-                .as_str()
-                .filter(|d| !d.is_empty())
-                .map_or(String::new(), |d| format!(", {d}"));
-            let open = if open.is_empty() { String::new() } else { format!(" ({})", open.join(", ")) };
-            format!("{outcome}{detail}{open}")
-        });
+        output.print(
+            &json!({"agent": agent_name, "operation": id, "outcome": outcome, "state": state}),
+            || {
+                let unfinished = state["instances"].as_object().into_iter().flatten();
+                let unfinished: Vec<String> = unfinished
+                    .filter(|(_, s)| *s != "applied" && *s != "down")
+                    .map(|(n, s)| format!("{n} {}", s.as_str().unwrap_or_default()))
+                    .collect();
+                let detail = state["detail"]
+                    .as_str()
+                    .filter(|d| !d.is_empty())
+                    .map_or(String::new(), |d| format!(", {d}"));
+                let unfinished = if unfinished.is_empty() {
+                    String::new()
+                } else {
+                    format!(" ({})", unfinished.join(", "))
+                };
+                format!("{outcome}{detail}{unfinished}")
+            },
+        );
         if exit != Exit::Done {
-            eprintln!("trestlectl: {agent_name}: not done yet or not known; see: trestlectl operation {id}");
+            eprintln!("trestlectl: {agent_name}: not done, or the outcome is unknown; see: trestlectl operation {id}");
         }
         return exit;
     }
 }
 
-/// The fleet of an agent as a table.
+/// Formats the state of an agent's fleet as a table.
 fn table(fleet: &Value) -> String {
     let text = |v: &Value| match v {
         Value::Null => "-".to_owned(),
@@ -210,48 +220,48 @@
     [head].into_iter().chain(rows.iter().map(line)).collect::<Vec<_>>().join("\n")
 }
 
-/// Tells the state of an agent's fleet, or a part of it.
-pub async fn status(agent: &Agent, part: Option<&str>, voice: Voice) -> Exit {
-    match agent.ask(Method::GET, "/v1/fleet", None).await {
+/// Prints the state of an agent's fleet, or a part of it.
+pub async fn status(agent: &Agent, part: Option<&str>, output: Output) -> Exit {
+    match agent.request(Method::GET, "/v1/fleet", None).await {
         Ok(fleet) => {
             let shown = part.map_or(&fleet, |p| &fleet[p]);
-            voice.say(&json!({"agent": agent.address.to_string(), "fleet": shown}), || match part {
+            output.print(&json!({"agent": agent.address.to_string(), "fleet": shown}), || match part {
                 Some(_) => shown["summary"].as_str().unwrap_or("none").to_owned(),
                 None => table(&fleet),
             });
             Exit::Done
         }
         Err(e) => {
-            voice.complain(agent, &e.to_string());
+            output.report_error(agent, &e.to_string());
             Exit::Failed
         }
     }
 }
 
-/// Tells all of one instance.
-pub async fn inspect(agent: &Agent, name: &str, voice: Voice) -> Exit {
-    match agent.ask(Method::GET, &format!("/v1/instances/{name}"), None).await {
-        Ok(told) => {
-            voice.say(&told, || serde_json::to_string_pretty(&told).unwrap_or_default());
+/// Prints the full state of an instance.
+pub async fn inspect(agent: &Agent, name: &str, output: Output) -> Exit {
+    match agent.request(Method::GET, &format!("/v1/instances/{name}"), None).await {
+        Ok(response) => {
+            output.print(&response, || serde_json::to_string_pretty(&response).unwrap_or_default());
             Exit::Done
         }
         Err(e) => {
-            voice.complain(agent, &e.to_string());
+            output.report_error(agent, &e.to_string());
             Exit::Failed
         }
     }
 }
 
-/// Tells of changes until it is ended.
-pub async fn watch(agent: &Agent, voice: Voice) -> Exit {
+/// Prints the state of the fleet after each change, until the process is ended.
+pub async fn watch(agent: &Agent, output: Output) -> Exit {
     let (mut after, mut last) = (None, Value::Null);
     loop {
         let path = after.map_or("/v1/watch".into(), |n: u64| format!("/v1/watch?after={n}&timeout_ms=20000"));
-        match agent.ask_for(Method::GET, &path, None, Duration::from_secs(30)).await {
-            Ok(told) => {
-                after = told["change"].as_u64();
-                // What changes with every look is no news.
-                let mut fleet = told["fleet"].clone();
+        match agent.request_with_timeout(Method::GET, &path, None, Duration::from_secs(30)).await {
+            Ok(response) => {
+                after = response["change"].as_u64();
+                // Fields that change with every response don't count as a change.
+                let mut fleet = response["fleet"].clone();
                 for (_, i) in fleet["instances"].as_object_mut().into_iter().flatten() {
                     if let Some(fields) = i.as_object_mut() {
                         ["heard_ms", "requests", "counters", "list"].iter().for_each(|k| {
@@ -261,14 +271,14 @@
                 }
                 if fleet != last {
                     last = fleet;
-                    voice.say(&json!({"agent": agent.address.to_string(), "fleet": last}), || {
-                        table(&told["fleet"])
+                    output.print(&json!({"agent": agent.address.to_string(), "fleet": last}), || {
+                        table(&response["fleet"])
                     });
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(e) => {
-                voice.complain(agent, &e.to_string());
+                output.report_error(agent, &e.to_string());
                 after = None;
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
@@ -276,72 +286,73 @@
     }
 }
 
-/// Instances by the agents that have them.
-pub struct Owned {
-    /// Each agent with those of the wanted instances that it has, if any.
-    pub at: Vec<(Agent, Vec<String>)>,
-    /// Names that nobody has who answers.
+/// Instances grouped by the agents that run them.
+pub struct InstanceOwners {
+    /// Each agent that has any of the requested instances, with the names of these.
+    pub by_agent: Vec<(Agent, Vec<String>)>,
+    /// Names that no reachable agent has.
     pub missing: Vec<String>,
-    /// An agent did not answer; that has been said.
-    pub unreached: bool,
+    /// Whether an agent could not be reached; the error has been reported.
+    pub has_unreachable_agent: bool,
 }
 
-impl Owned {
-    /// Says which names nobody has.
-    pub fn complain(&self) {
+impl InstanceOwners {
+    /// Reports the names that no agent has.
+    pub fn report_missing(&self) {
         if !self.missing.is_empty() {
             eprintln!("trestlectl: no agent has {}; see: trestlectl status", self.missing.join(", "));
         }
     }
 }
 
-/// Which agents have these instances; without names, all that they have.
-pub async fn owners(agents: &[Agent], wanted: &[String], voice: Voice) -> Owned {
-    let mut owned = Owned { at: Vec::new(), missing: wanted.to_vec(), unreached: false };
+/// Finds the agents that have these instances; without names, all instances.
+pub async fn find_owners(agents: &[Agent], requested: &[String], output: Output) -> InstanceOwners {
+    let mut owners =
+        InstanceOwners { by_agent: Vec::new(), missing: requested.to_vec(), has_unreachable_agent: false };
     for agent in agents {
-        match names(agent).await {
+        match instance_names(agent).await {
             Ok(known) => {
-                owned.missing.retain(|n| !known.contains(n));
-                let own: Vec<String> =
-                    known.into_iter().filter(|n| wanted.is_empty() || wanted.contains(n)).collect();
-                if !own.is_empty() {
-                    owned.at.push((agent.clone(), own));
+                owners.missing.retain(|n| !known.contains(n));
+                let own_names: Vec<String> =
+                    known.into_iter().filter(|n| requested.is_empty() || requested.contains(n)).collect();
+                if !own_names.is_empty() {
+                    owners.by_agent.push((agent.clone(), own_names));
                 }
             }
             Err(e) => {
-                voice.complain(agent, &e.to_string());
-                owned.unreached = true;
+                output.report_error(agent, &e.to_string());
+                owners.has_unreachable_agent = true;
             }
         }
     }
-    owned
+    owners
 }
 
-/// The names of an agent's instances.
-pub async fn names(agent: &Agent) -> Result<Vec<String>, Failure> {
-    let fleet = agent.ask(Method::GET, "/v1/fleet", None).await?;
+/// Names of an agent's instances.
+pub async fn instance_names(agent: &Agent) -> Result<Vec<String>, RequestError> {
+    let fleet = agent.request(Method::GET, "/v1/fleet", None).await?;
     Ok(fleet["instances"].as_object().into_iter().flatten().map(|(n, _)| n.clone()).collect())
 }
 
-/// What a fleet's file would change.
-pub async fn dry_run(agent: &Agent, command: &Value, force: bool, voice: Voice) -> Exit {
-    let asked = async {
-        let fleet = agent.ask(Method::GET, "/v1/fleet", None).await?;
-        let write = json!({"id": new_id(), "base": fleet["generation"], "force": force, "dry_run": true,
+/// Prints what a command would change, without executing it.
+pub async fn dry_run(agent: &Agent, command: &Value, force: bool, output: Output) -> Exit {
+    let changes = async {
+        let fleet = agent.request(Method::GET, "/v1/fleet", None).await?;
+        let request = json!({"id": new_id(), "base": fleet["generation"], "force": force, "dry_run": true,
             "command": command});
-        agent.ask(Method::POST, "/v1/operations", Some(&write)).await
+        agent.request(Method::POST, "/v1/operations", Some(&request)).await
     };
-    match asked.await {
-        Ok(told) => {
-            let changes = told["changes"].as_array().cloned().unwrap_or_default();
-            voice.say(&told, || match &changes[..] {
+    match changes.await {
+        Ok(response) => {
+            let changes = response["changes"].as_array().cloned().unwrap_or_default();
+            output.print(&response, || match &changes[..] {
                 [] => "nothing changes".into(),
                 changes => changes.iter().filter_map(Value::as_str).collect::<Vec<_>>().join("\n"),
             });
             Exit::Done
         }
         Err(e) => {
-            voice.complain(agent, &e.to_string());
+            output.report_error(agent, &e.to_string());
             Exit::Failed
         }
     }
--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -1,7 +1,7 @@
-//! `trestlectl shadow`: copies of reads to candidates, at many instances of several agents.
+//! `trestlectl shadow`: copying of reads to candidate boxes, by instances of several agents.
 
 use crate::client::Agent;
-use crate::run::{all, owners, Exit, Voice};
+use crate::run::{combine, find_owners, Exit, Output};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use clap::Subcommand;
 use control::message::ShadowStatus;
@@ -16,114 +16,123 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use trestlesill::config::Config;
 
-/// What to do.
+/// The subcommands of `trestlectl shadow`.
 #[derive(Clone, Debug, Subcommand)]
 pub enum Command {
-    /// Start copying, or prolong it. It goes on as long as the agents renew it, up to the time given.
+    /// Start copying, or extend it. It continues while the agents renew it, up to the given time.
     Start {
-        /// Instances; all of them where none is named.
+        /// Names of instances; all by default.
         names: Vec<String>,
-        /// For so many seconds, 1 to 604,800.
+        /// Duration in seconds, 1 to 604,800.
         #[arg(long = "for", value_name = "SECONDS", default_value_t = 3_600, value_parser = clap::value_parser!(u64).range(1..=604_800))]
         seconds: u64,
-        /// The number of this order, to prolong one; by default a new one.
+        /// The number of this command, to prolong one; by default a new one.
         #[arg(long)]
         generation: Option<u64>,
     },
     /// Stop copying.
     Stop {
-        /// Instances; all of them where none is named.
+        /// Names of instances; all by default.
         names: Vec<String>,
         /// The number of this order; by default a new one.
         #[arg(long)]
         generation: Option<u64>,
     },
-    /// Tell how copying stands at each instance.
+    /// Print the state of copying on each instance.
     Status,
-    /// Tell what the copies of all instances show together.
+    /// Print the merged results of all instances.
     Report {
-        /// Write it as one page to this file as well.
+        /// Also write the report to this file as an HTML page.
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
-        /// The share of answers that may differ.
+        /// Fraction of answers that may differ.
         #[arg(long, default_value_t = Tolerance::default().different)]
         tolerated_different: f64,
-        /// The part by which quantiles may be longer.
+        /// Fraction by which latency quantiles may be longer.
         #[arg(long, default_value_t = Tolerance::default().slower)]
         tolerated_slower: f64,
     },
-    /// Tell the steps in which the candidates may come into service. Only discovery can put them there.
+    /// Print the steps for bringing the candidates into service. Only discovery can carry them out.
     Promote {
-        /// Only tell. There is no other way.
+        /// Only print the steps. Required: there is no other mode.
         #[arg(long, required = true)]
         dry_run: bool,
-        /// A proxy's configuration, for its rule of cold boxes and its live boxes.
+        /// A proxy's configuration, for its slow start rule and its live boxes.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Candidates.
+        /// Number of candidates.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=64))]
         candidates: u32,
-        /// Steps.
+        /// Number of steps.
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=100))]
         steps: u32,
     },
 }
 
-/// What one instance said.
-struct Said {
+/// The state of copying on one instance, or the reason why it is unknown.
+struct InstanceStatus {
     agent: String,
     name: String,
     copying: Result<Box<ShadowStatus>, String>,
 }
 
-/// A number that is greater than those of earlier orders: milliseconds of Unix time.
+/// A generation later than those of earlier commands: milliseconds of Unix time.
 fn new_generation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Gives an order to all agents, each for those of the named instances that it has. What was said, and whether every agent
-/// and each name was found.
-async fn ask(agents: &[Agent], names: &[String], order: &Value, voice: Voice) -> (Vec<Said>, bool) {
-    let (mut said, mut whole, mut jobs) = (Vec::new(), true, Vec::new());
+/// Sends a command to all agents, to each for those of the named instances that it has. Returns the statuses of the
+/// instances, and whether every agent and each name was found.
+async fn send_command(
+    agents: &[Agent],
+    names: &[String],
+    command: &Value,
+    output: Output,
+) -> (Vec<InstanceStatus>, bool) {
+    let (mut statuses, mut complete, mut requests) = (Vec::new(), true, Vec::new());
     if names.is_empty() {
-        jobs.extend(agents.iter().map(|a| (a.clone(), order.clone())));
+        requests.extend(agents.iter().map(|a| (a.clone(), command.clone())));
     } else {
-        let owned = owners(agents, names, voice).await;
-        owned.complain();
-        whole = !owned.unreached && owned.missing.is_empty();
-        for (agent, own) in owned.at {
-            let mut order = order.clone();
-            order["names"] = json!(own);
-            jobs.push((agent, order));
+        let owners = find_owners(agents, names, output).await;
+        owners.report_missing();
+        complete = !owners.has_unreachable_agent && owners.missing.is_empty();
+        for (agent, own_names) in owners.by_agent {
+            let mut command = command.clone();
+            command["names"] = json!(own_names);
+            requests.push((agent, command));
         }
     }
-    for (agent, order) in &jobs {
-        match agent.ask(Method::POST, "/v1/shadow", Some(order)).await {
-            Ok(told) => {
-                for (name, one) in told["instances"].as_object().into_iter().flatten() {
-                    let copying = match serde_json::from_value(one["ok"].clone()) {
+    for (agent, command) in &requests {
+        match agent.request(Method::POST, "/v1/shadow", Some(command)).await {
+            Ok(response) => {
+                for (name, result) in response["instances"].as_object().into_iter().flatten() {
+                    let copying = match serde_json::from_value(result["ok"].clone()) {
                         Ok(copying) => Ok(Box::new(copying)),
-                        Err(_) => Err(one["error"]["message"].as_str().unwrap_or("no answer").to_owned()),
+                        Err(_) => Err(result["error"]["message"].as_str().unwrap_or("no answer").to_owned()),
                     };
-                    said.push(Said { agent: agent.address.to_string(), name: name.clone(), copying });
+                    statuses.push(InstanceStatus {
+                        agent: agent.address.to_string(),
+                        name: name.clone(),
+                        copying,
+                    });
                 }
             }
             Err(e) => {
-                voice.complain(agent, &e.to_string());
-                whole = false;
+                output.report_error(agent, &e.to_string());
+                complete = false;
             }
         }
     }
-    (said, whole)
+    (statuses, complete)
 }
 
-/// How it went: done only where every instance answered so, failed where none did.
-fn exit(said: &[Said], whole: bool) -> Exit {
-    let each = said.iter().map(|s| if s.copying.is_ok() { Exit::Done } else { Exit::Failed });
-    all(each.chain((!whole || said.is_empty()).then_some(Exit::Failed)))
+/// The combined outcome: done if every instance succeeded, failed if none did.
+fn exit_code(statuses: &[InstanceStatus], complete: bool) -> Exit {
+    let outcomes = statuses.iter().map(|s| if s.copying.is_ok() { Exit::Done } else { Exit::Failed });
+    combine(outcomes.chain((!complete || statuses.is_empty()).then_some(Exit::Failed)))
 }
 
-fn state(copying: &ShadowStatus) -> String {
+fn state_text(copying: &ShadowStatus) -> String {
     match copying.status.state {
         State::Off => "off".into(),
         State::On { .. } => "on".into(),
@@ -131,38 +140,39 @@
     }
 }
 
-fn line(said: &Said) -> String {
-    match &said.copying {
-        Ok(c) => {
-            let s = &c.status;
-            let trouble = s.trouble.map_or(String::new(), |(what, ms)| format!(", {what:?} {ms} ms ago"));
+fn status_text(status: &InstanceStatus) -> String {
+    match &status.copying {
+        Ok(copying) => {
+            let s = &copying.status;
+            let trouble =
+                s.trouble.map_or(String::new(), |(trouble, ms)| format!(", {trouble:?} {ms} ms ago"));
             format!(
                 "{}: {}, generation {}, {:.4}% of the keys, {} candidates, {} copies, {} open, {}{trouble}",
-                said.name,
-                state(c),
+                status.name,
+                state_text(copying),
                 s.generation,
                 f64::from(s.parts) / 1e4,
                 s.candidates,
                 s.counts.copies,
                 s.open,
-                word(c.report.word),
+                verdict_text(copying.report.word),
             )
         }
-        Err(why) => format!("{}: {why}", said.name),
+        Err(reason) => format!("{}: {reason}", status.name),
     }
 }
 
-fn tell(said: &[Said], voice: Voice) {
-    for one in said {
-        let value = match &one.copying {
-            Ok(c) => json!({"agent": one.agent, "instance": one.name, "copying": c}),
-            Err(why) => json!({"agent": one.agent, "instance": one.name, "error": why}),
+fn print_statuses(statuses: &[InstanceStatus], output: Output) {
+    for status in statuses {
+        let value = match &status.copying {
+            Ok(c) => json!({"agent": status.agent, "instance": status.name, "copying": c}),
+            Err(reason) => json!({"agent": status.agent, "instance": status.name, "error": reason}),
         };
-        voice.say(&value, || line(one));
+        output.print(&value, || status_text(status));
     }
 }
 
-fn word(word: Word) -> &'static str {
+fn verdict_text(word: Word) -> &'static str {
     match word {
         Word::Worse => "worse",
         Word::Better => "better",
@@ -171,15 +181,15 @@
     }
 }
 
-/// All instances together, and the names of the classes in the order of their numbers there.
-fn together(said: &[Said], tolerance: Tolerance) -> (Report, Vec<String>) {
+/// Merges the results of all instances. Also returns the names of the classes, in the order of their numbers in the report.
+fn merge_reports(statuses: &[InstanceStatus], tolerance: Tolerance) -> (Report, Vec<String>) {
     let (mut tally, mut times) = (Tally::default(), BTreeMap::<String, Times>::new());
-    for copying in said.iter().filter_map(|s| s.copying.as_ref().ok()) {
+    for copying in statuses.iter().filter_map(|s| s.copying.as_ref().ok()) {
         tally.add(&copying.report.tally);
         for (class, text) in &copying.times {
             match BASE64_STANDARD.decode(text).ok().and_then(|bytes| Times::from_bytes(&bytes)) {
                 Some(t) => times.entry(class.clone()).or_default().merge(&t),
-                None => eprintln!("trestlectl: times of {class} can't be read and are left out"),
+                None => eprintln!("trestlectl: latency histogram of {class} can't be decoded and is ignored"),
             }
         }
     }
@@ -187,50 +197,53 @@
     (report, times.into_keys().collect())
 }
 
-fn quantile(q: &Quantile, classes: &[String]) -> [String; 6] {
+fn quantile_cells(q: &Quantile, classes: &[String]) -> [String; 6] {
     [
         classes.get(q.class as usize).cloned().unwrap_or_default(),
         format!("p{}", q.part * 100.0),
         format!("{:.2}", q.ms[0]),
         format!("{:.2}", q.ms[1]),
         format!("{:+.2} to {:+.2}", q.more_ms.low, q.more_ms.high),
-        format!("{} of {}", word(q.word), q.of),
+        format!("{} of {}", verdict_text(q.word), q.of),
     ]
 }
 
-fn counts(tally: &Tally) -> Vec<(String, u64)> {
+fn tally_counts(tally: &Tally) -> Vec<(String, u64)> {
     let value = serde_json::to_value(tally).unwrap_or_default();
-    let all = value.as_object().into_iter().flatten();
-    all.filter_map(|(what, n)| Some((what.clone(), n.as_u64()?))).collect()
+    let fields = value.as_object().into_iter().flatten();
+    fields.filter_map(|(name, n)| Some((name.clone(), n.as_u64()?))).collect()
 }
 
-/// Between which shares answers differ, of how many, and what that says.
-fn answers(report: &Report) -> String {
+/// The confidence interval of the share of different answers, their number, and the verdict.
+fn difference_text(report: &Report) -> String {
     let Report { different, tally, .. } = report;
     let (low, high) = (different.low * 100.0, different.high * 100.0);
-    format!("{low:.4}% to {high:.4}% of {}, {}", tally.compared(), word(report.answers))
+    format!("{low:.4}% to {high:.4}% of {}, {}", tally.compared(), verdict_text(report.answers))
 }
 
-fn text(report: &Report, classes: &[String], instances: usize) -> String {
-    let mut out = format!("{}, by copies at {instances} instances\n", word(report.word));
-    let found: Vec<String> = counts(&report.tally).iter().map(|(what, n)| format!("{what} {n}")).collect();
+fn report_text(report: &Report, classes: &[String], instances: usize) -> String {
+    let mut out = format!("{}, by copies at {instances} instances\n", verdict_text(report.word));
+    let answers: Vec<String> =
+        tally_counts(&report.tally).iter().map(|(name, n)| format!("{name} {n}")).collect();
     // Writing to a string cannot fail.
-    let _ = writeln!(out, "answers: {}", found.join(", "));
-    let _ = writeln!(out, "different: {}", answers(report));
+    let _ = writeln!(out, "answers: {}", answers.join(", "));
+    let _ = writeln!(out, "different: {}", difference_text(report));
     for q in &report.times {
-        let [class, part, live, candidate, more, said] = quantile(q, classes);
-        let _ =
-            writeln!(out, "{class} {part}: live {live} ms, candidate {candidate} ms, {more} ms more: {said}");
+        let [class, part, live, candidate, more, verdict] = quantile_cells(q, classes);
+        let _ = writeln!(
+            out,
+            "{class} {part}: live {live} ms, candidate {candidate} ms, {more} ms more: {verdict}"
+        );
     }
     out.trim_end().to_owned()
 }
 
-fn escape(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-fn table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
-    let cell = |tag: &str, text: &str| format!("<{tag}>{}</{tag}>", escape(text));
+fn html_table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
+    let cell = |tag: &str, text: &str| format!("<{tag}>{}</{tag}>", escape_html(text));
     let mut out = format!("<table><tr>{}</tr>\n", head.iter().map(|h| cell("th", h)).collect::<String>());
     for row in rows {
         let _ = writeln!(out, "<tr>{}</tr>", row.iter().map(|c| cell("td", c)).collect::<String>());
@@ -238,43 +251,46 @@
     out + "</table>\n"
 }
 
-/// The page: the verdict first, then what it rests on.
-fn page(report: &Report, classes: &[String], said: &[Said]) -> String {
+/// The report as an HTML page: first the verdict, then the data behind it.
+fn html_page(report: &Report, classes: &[String], statuses: &[InstanceStatus]) -> String {
     let mut out = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Shadow traffic</title>\n\
         <style>body{font:16px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:left}\
         table{border-collapse:collapse}tr{border-bottom:1px solid #ccc}</style>\n"
         .to_owned();
-    let _ = writeln!(out, "<h1>The candidates: {}</h1>", word(report.word));
-    let _ = writeln!(out, "<p>Different answers (95%): {}.</p>", answers(report));
-    out += &table(
+    let _ = writeln!(out, "<h1>The candidates: {}</h1>", verdict_text(report.word));
+    let _ = writeln!(out, "<p>Different answers (95%): {}.</p>", difference_text(report));
+    out += &html_table(
         &["answers", "copies"],
-        counts(&report.tally).into_iter().map(|(w, n)| vec![w, n.to_string()]),
+        tally_counts(&report.tally).into_iter().map(|(name, n)| vec![name, n.to_string()]),
     );
     out += "<h2>Times where both sides had the record</h2>\n";
     let head = ["class", "quantile", "live, ms", "candidate, ms", "more, ms (95%)", "verdict"];
-    out += &table(&head, report.times.iter().map(|q| quantile(q, classes).to_vec()));
+    out += &html_table(&head, report.times.iter().map(|q| quantile_cells(q, classes).to_vec()));
     out += "<h2>Instances</h2>\n";
     let hits = |c: &ShadowStatus| {
-        let shares = c.status.counts.hits.iter().filter(|h| h[0] > 0);
+        let measured = c.status.counts.hits.iter().filter(|h| h[0] > 0);
         let shares: Vec<String> =
-            shares.map(|h| format!("{:.0}", 100.0 * h[1] as f64 / h[0] as f64)).collect();
+            measured.map(|h| format!("{:.0}", 100.0 * h[1] as f64 / h[0] as f64)).collect();
         shares.join(" ")
     };
-    let row = |s: &Said| match &s.copying {
-        Ok(c) => vec![s.name.clone(), state(c), c.status.counts.copies.to_string(), hits(c)],
-        Err(why) => vec![s.name.clone(), why.clone(), String::new(), String::new()],
+    let row = |s: &InstanceStatus| match &s.copying {
+        Ok(c) => vec![s.name.clone(), state_text(c), c.status.counts.copies.to_string(), hits(c)],
+        Err(reason) => vec![s.name.clone(), reason.clone(), String::new(), String::new()],
     };
-    out += &table(&["instance", "state", "copies", "hits over time, %"], said.iter().map(row));
+    out += &html_table(&["instance", "state", "copies", "hits over time, %"], statuses.iter().map(row));
     out + "</html>\n"
 }
 
-/// The steps, or all that is wrong with the configuration.
-fn plan(config: &Path, candidates: u32, count: u32) -> Result<(Vec<Step>, usize), String> {
+/// The steps of a promotion, and the number of live boxes.
+///
+/// # Errors
+/// The configuration is invalid, or has no live boxes.
+fn promotion_steps(config: &Path, candidates: u32, count: u32) -> Result<(Vec<Step>, usize), String> {
     let text = std::fs::read_to_string(config).map_err(|e| format!("{}: {e}", config.display()))?;
     let config = Config::parse(&text, |_| None).map_err(|e| format!("{}: {e}", config.display()))?;
     let live = config.known_list.as_ref().map_or(0, |k| k.hosts.len());
     if live == 0 {
-        return Err("the configuration knows no live boxes; take one that a proxy was started with".into());
+        return Err("the configuration has no live boxes; use one that a proxy was started with".into());
     }
     let rule = ColdRule {
         from: config.settings.slow_start_initial_fraction,
@@ -283,61 +299,67 @@
     Ok((steps(rule, live, candidates as usize, count as usize), live))
 }
 
-/// Carries out one of them.
-pub async fn execute(what: &Command, agents: &[Agent], force: bool, voice: Voice) -> Exit {
-    let none: &[String] = &[];
-    match what {
+/// Executes a subcommand.
+pub async fn execute(subcommand: &Command, agents: &[Agent], force: bool, output: Output) -> Exit {
+    let all_instances: &[String] = &[];
+    match subcommand {
         Command::Start { names, seconds, generation } => {
             let generation = generation.unwrap_or_else(new_generation);
-            let order = json!({"op": "start", "generation": generation, "for_ms": seconds * 1_000});
-            let (said, whole) = ask(agents, names, &order, voice).await;
-            tell(&said, voice);
-            exit(&said, whole)
+            let command = json!({"op": "start", "generation": generation, "for_ms": seconds * 1_000});
+            let (statuses, complete) = send_command(agents, names, &command, output).await;
+            print_statuses(&statuses, output);
+            exit_code(&statuses, complete)
         }
         Command::Stop { names, generation } => {
             let generation = generation.unwrap_or_else(new_generation);
-            let (said, whole) =
-                ask(agents, names, &json!({"op": "stop", "generation": generation}), voice).await;
-            tell(&said, voice);
-            exit(&said, whole)
+            let (statuses, complete) =
+                send_command(agents, names, &json!({"op": "stop", "generation": generation}), output).await;
+            print_statuses(&statuses, output);
+            exit_code(&statuses, complete)
         }
         Command::Status => {
-            let (said, whole) = ask(agents, none, &json!({"op": "status"}), voice).await;
-            tell(&said, voice);
-            exit(&said, whole)
+            let (statuses, complete) =
+                send_command(agents, all_instances, &json!({"op": "status"}), output).await;
+            print_statuses(&statuses, output);
+            exit_code(&statuses, complete)
         }
         Command::Report { html, tolerated_different, tolerated_slower } => {
-            let (said, whole) = ask(agents, none, &json!({"op": "status"}), voice).await;
+            let (statuses, complete) =
+                send_command(agents, all_instances, &json!({"op": "status"}), output).await;
             let tolerance = Tolerance { different: *tolerated_different, slower: *tolerated_slower };
-            let (report, classes) = together(&said, tolerance);
-            let answered = said.iter().filter(|s| s.copying.is_ok()).count();
-            said.iter().filter(|s| s.copying.is_err()).for_each(|s| eprintln!("trestlectl: {}", line(s)));
+            let (report, classes) = merge_reports(&statuses, tolerance);
+            let answered = statuses.iter().filter(|s| s.copying.is_ok()).count();
+            statuses
+                .iter()
+                .filter(|s| s.copying.is_err())
+                .for_each(|s| eprintln!("trestlectl: {}", status_text(s)));
             if let Some(path) = html {
-                if let Err(e) = std::fs::write(path, page(&report, &classes, &said)) {
+                if let Err(e) = std::fs::write(path, html_page(&report, &classes, &statuses)) {
                     eprintln!("trestlectl: {}: {e}", path.display());
                     return Exit::Failed;
                 }
             }
             let value = json!({"report": report, "classes": classes, "instances": answered});
-            voice.say(&value, || text(&report, &classes, answered));
-            exit(&said, whole)
+            output.print(&value, || report_text(&report, &classes, answered));
+            exit_code(&statuses, complete)
         }
         Command::Promote { config, candidates, steps, .. } => {
-            let (said, whole) = ask(agents, none, &json!({"op": "status"}), voice).await;
-            let (report, _) = together(&said, Tolerance::default());
-            let (plan, live) = match plan(config, *candidates, *steps) {
+            let (statuses, complete) =
+                send_command(agents, all_instances, &json!({"op": "status"}), output).await;
+            let (report, _) = merge_reports(&statuses, Tolerance::default());
+            let (plan, live) = match promotion_steps(config, *candidates, *steps) {
                 Ok(plan) => plan,
-                Err(why) => {
-                    eprintln!("trestlectl: {why}");
+                Err(reason) => {
+                    eprintln!("trestlectl: {reason}");
                     return Exit::Failed;
                 }
             };
-            let sure = matches!(report.word, Word::Alike | Word::Better);
+            let is_good_enough = matches!(report.word, Word::Alike | Word::Better);
             let value = json!({"word": report.word, "live": live, "candidates": candidates, "steps": plan});
-            voice.say(&value, || {
+            output.print(&value, || {
                 let mut out = format!(
                     "the candidates are {}; {candidates} beside {live} live boxes\n",
-                    word(report.word)
+                    verdict_text(report.word)
                 );
                 for s in &plan {
                     let _ = writeln!(
@@ -351,14 +373,14 @@
                 }
                 out.trim_end().to_owned()
             });
-            if !sure && !force {
+            if !is_good_enough && !force {
                 eprintln!(
                     "trestlectl: the copies don't show that they are good enough: {}",
-                    word(report.word)
+                    verdict_text(report.word)
                 );
                 return Exit::Failed;
             }
-            exit(&said, whole)
+            exit_code(&statuses, complete)
         }
     }
 }
--- a/crates/ctl/tests/dev.rs
+++ b/crates/ctl/tests/dev.rs
@@ -1,4 +1,4 @@
-//! `trestlectl dev` as a newcomer runs it.
+//! `trestlectl dev`, usage errors and `trestlectl password`.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use testkit::scripted::{Peer, PATIENCE};
 
 fn dev(args: &[&str], temporary: &std::path::Path) -> (Child, BufReader<std::process::ChildStdout>) {
-    // Built with the workspace's tests.
+    // Fails with a clear message if the proxy has not been built.
     testkit::program("trestlesill");
     let mut child = Command::new(env!("CARGO_BIN_EXE_trestlectl"))
         .arg("dev")
@@ -28,8 +28,8 @@
         .success());
 }
 
-/// The processes whose environment names this folder.
-fn left_behind(temporary: &std::path::Path) -> usize {
+/// The number of processes whose environment names a configuration in this folder.
+fn processes_using(temporary: &std::path::Path) -> usize {
     let name = temporary.to_string_lossy().into_owned();
     let all = std::fs::read_dir("/proc").expect("proc").flatten();
     let config = format!("NODE_CONFIG={name}");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn it_serves_until_it_is_told_to_end_and_leaves_nothing_behind() {
+fn dev_serves_until_sigterm_and_leaves_no_processes_or_files_behind() {
     let folder = testkit::process::Folder::new("dev-test").expect("a folder");
     let (mut child, mut out) = dev(&["--proxies", "2", "--nodes", "4", "--port", "0"], &folder.0);
     let mut line = || {
@@ -51,13 +51,13 @@
     };
     let proxies: Vec<SocketAddr> = (0..2)
         .map(|i| {
-            let said = line();
-            let address = said.strip_prefix(&format!("proxy n{i} ")).unwrap_or_else(|| panic!("{said}"));
+            let event = line();
+            let address = event.strip_prefix(&format!("proxy n{i} ")).unwrap_or_else(|| panic!("{event}"));
             address.parse().expect("an address")
         })
         .collect();
     assert_eq!(line(), "ready");
-    // Two lines to paste: a question by a common client, and load at the first proxy.
+    // Two commands to try: a request with redis-cli, and load on the first proxy.
     assert!(line().starts_with("redis-cli -p "));
     assert_eq!(line(), format!("target/release/trestlelab load {} --rate 500 --seconds 5", proxies[0]));
     for (i, proxy) in proxies.iter().enumerate() {
@@ -65,31 +65,31 @@
         client.send(testkit::scripted::encode(&["CACHE.GET", "7", &format!("a{i}"), "c=pack-lookup,d=480"]));
         assert_eq!(client.command()[0], "0000000000000007:0");
     }
-    assert_eq!(left_behind(&folder.0), 2);
+    assert_eq!(processes_using(&folder.0), 2);
     signal(&child, "-TERM");
     assert!(child.wait().expect("waited").success());
-    assert_eq!(left_behind(&folder.0), 0);
+    assert_eq!(processes_using(&folder.0), 0);
     assert_eq!(std::fs::read_dir(&folder.0).expect("read").count(), 0);
 }
 
 #[test]
-fn an_end_while_it_starts_leaves_nothing_behind_either() {
+fn sigint_during_start_leaves_no_processes_or_files_behind() {
     let folder = testkit::process::Folder::new("dev-test").expect("a folder");
     let (mut child, out) = dev(&["--proxies", "8", "--json", "--port", "0"], &folder.0);
-    let begun = Instant::now();
-    while left_behind(&folder.0) == 0 {
-        assert!(begun.elapsed() < PATIENCE, "none starts");
+    let started = Instant::now();
+    while processes_using(&folder.0) == 0 {
+        assert!(started.elapsed() < PATIENCE, "no proxy starts");
         std::thread::sleep(Duration::from_millis(1));
     }
     signal(&child, "-INT");
     assert!(child.wait().expect("waited").success());
-    assert_eq!(left_behind(&folder.0), 0);
+    assert_eq!(processes_using(&folder.0), 0);
     assert_eq!(std::fs::read_dir(&folder.0).expect("read").count(), 0);
     drop(out);
 }
 
 #[test]
-fn what_is_wrong_is_said_in_a_line_with_the_exit_code_for_it() {
+fn errors_are_reported_in_one_line_with_their_exit_code() {
     let run = |args: &[&str]| {
         let out = Command::new(env!("CARGO_BIN_EXE_trestlectl")).args(args).output().expect("runs");
         (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_password_is_hashed_as_the_operators_file_takes_it_and_checked_there() {
+fn password_hashes_are_accepted_in_the_operators_file_and_invalid_ones_rejected() {
     let tool = |args: &[&str], input: &str| {
         let mut child = Command::new(env!("CARGO_BIN_EXE_trestlectl"))
             .args(args)
@@ -117,23 +117,23 @@
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         (out.status.success(), text(&out.stdout), text(&out.stderr))
     };
-    let (fine, first, _) = tool(&["password"], "swap\n");
+    let (success, first, _) = tool(&["password"], "swap\n");
     let (_, second, _) = tool(&["password"], "swap\n");
-    assert!(fine && first != second, "each has a salt of its own");
+    assert!(success && first != second, "each hash has its own salt");
     let (_, both, _) = tool(&["password", "--generate"], "");
-    let (plain, made) = both.trim_end().split_once('\n').expect("two lines");
-    assert!(plain.len() == 48 && !made.contains(plain));
+    let (plain, hash) = both.trim_end().split_once('\n').expect("two lines");
+    assert!(plain.len() == 48 && !hash.contains(plain));
     assert!(!tool(&["password"], "\n").0);
     let path = testkit::scripted::scratch("operator.toml");
     let path = path.to_str().expect("text");
-    for (password, good) in [(first.trim_end(), true), (made, true), ("swap", false)] {
+    for (password, good) in [(first.trim_end(), true), (hash, true), ("swap", false)] {
         let text = format!("version = 1\n[[clients.users]]\nname = \"kiosk\"\npassword = \"{password}\"\n");
         std::fs::write(path, text).expect("written");
-        let (fine, _, said) = tool(&["check", path], "");
-        assert_eq!(fine, good, "{said}");
+        let (success, _, error) = tool(&["check", path], "");
+        assert_eq!(success, good, "{error}");
         assert!(
-            good || said.contains("clients.users[0].password: is not of the form sha256:SALT:DIGEST"),
-            "{said}"
+            good || error.contains("clients.users[0].password: is not of the form sha256:SALT:DIGEST"),
+            "{error}"
         );
     }
 }
