--- a/crates/calicosaddle/src/api.rs
+++ b/crates/calicosaddle/src/api.rs
@@ -9,13 +9,18 @@
 /// Identity of a request at this proxy; below 2^52, never used twice.
 pub type RequestId = u64;
 
+/// Parameters of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// Odd multiplier that spreads the hash over all bits.
+const MIX_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
+
 /// Derives the identity of a server from its name, so that all proxies agree on it (FNV-1a, then mixed).
 pub fn server_id(name: &str) -> ServerId {
-    let h = name
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-    let h = (h ^ (h >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
-    h ^ (h >> 32)
+    let hash =
+        name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+    let hash = (hash ^ (hash >> 32)).wrapping_mul(MIX_MULTIPLIER);
+    hash ^ (hash >> 32)
 }
 
 /// Whether requests of a class may run more than once.
@@ -83,7 +88,7 @@
     pub proxy_count: u32,
     /// Index of this proxy.
     pub proxy_index: u32,
-    /// The server list must be asked for, by a subscription or polls; otherwise it is pushed.
+    /// The server list must be requested, by a subscription or polls; otherwise it is pushed.
     pub poll_discovery: bool,
     /// Cache nodes answer a miss as such, and the proxy asks the origin, which is listed as servers of a machine kind
     /// of its own.
@@ -178,7 +183,7 @@
     pub state: ServerState,
     /// Its size relative to other servers.
     pub weight: f64,
-    /// Time of its last start; 0: long ago.
+    /// Time of its last start; 0 if it started long ago.
     pub started_at: Nanos,
 }
 
@@ -297,8 +302,8 @@
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// All servers that operators drained, also those that no list names yet. They get no new requests, whatever
-    /// lists say about them.
+    /// All servers that operators drained, also those that no list names yet. They get no new requests,
+    /// regardless of the lists.
     OperatorDrained(Vec<ServerId>),
     /// New settings. Number, names and retry safety of the classes, the zone, the index of this proxy and the place of
     /// the origin must be unchanged.
@@ -368,6 +373,6 @@
     Probe(ServerId),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
-    /// Follow the server list. The balancer never asks for it: crate `freshness` does.
+    /// Follow the server list. The balancer never emits it; crate `freshness` does.
     Subscribe,
 }
--- a/crates/calicosaddle/src/balancer/admission.rs
+++ b/crates/calicosaddle/src/balancer/admission.rs
@@ -6,10 +6,10 @@
 
 /// Time constant of the sums of recent results, in seconds.
 pub(super) const ADMISSION_MEMORY_S: f64 = 2.0;
-/// Ratio of requests served in time below which less is admitted: for requests that are not likely hits, and for
-/// those that are.
+/// Ratio of requests served in time below which the admitted fraction is cut: for requests that are not likely
+/// hits, and for those that are.
 const MIN_IN_TIME_RATIO: [f64; 2] = [0.78, 0.55];
-/// More is admitted again once the ratio exceeds the lower bound by this much.
+/// The admitted fraction grows again once the ratio exceeds that bound by this much.
 const RECOVERY_MARGIN: f64 = 0.15;
 /// Interval at which the admitted fractions are updated.
 const UPDATE_INTERVAL: Nanos = 250 * MS;
@@ -27,6 +27,9 @@
 const QUICK_GROWTH_FACTOR: f64 = 1.2;
 const QUICK_GROWTH_STEP: f64 = 0.01;
 const SLOW_GROWTH_STEP: f64 = 0.005;
+/// Bounds of the exponent by which the value of a class for its work changes its rejection probability.
+const MIN_VALUE_EXPONENT: f64 = 0.25;
+const MAX_VALUE_EXPONENT: f64 = 4.0;
 
 /// Admission of one kind of traffic: likely hits, or all other requests.
 #[derive(Clone, Copy, Default)]
@@ -51,8 +54,8 @@
 impl Balancer {
     /// Moves the admitted fractions by how many of the admitted requests were served in time.
     ///
-    /// Servers that go on with work no client waits for stay overloaded by retries permanently, unless proxies send
-    /// less than they are asked for. Rejected requests don't count, or rejecting would cause more of it.
+    /// Servers that continue work which no client waits for stay overloaded by retries permanently, unless proxies
+    /// send less than they receive. Rejected requests don't count, or rejections would cause further rejections.
     fn update_admission(&mut self, now: Nanos) {
         let elapsed = now.saturating_sub(self.admission_updated_at);
         if elapsed < UPDATE_INTERVAL {
@@ -64,9 +67,9 @@
         for (control, min_ratio) in self.admission.iter_mut().zip(MIN_IN_TIME_RATIO) {
             let ratio = (control.in_time + PRIOR_IN_TIME) / (control.ended + PRIOR_IN_TIME);
             if ratio < min_ratio {
-                // Cut once, then judge only what was sent since the cut. If the fraction were cut further while old
-                // failures come in, and then raised to the full, all proxies together would swing between a flood
-                // and nothing.
+                // Cut once, then judge only what was sent since the cut. If the fraction were cut further while
+                // failures of older requests arrive, and then raised to 1, the load from all proxies together would
+                // oscillate between overload and none.
                 if control.admitted_fraction > NEAR_CEILING * control.ceiling {
                     control.ceiling = CEILING_FACTOR * control.admitted_fraction;
                 }
@@ -87,7 +90,7 @@
     pub(super) fn record_request_end(&mut self, open: &OpenRequest, value: f64) {
         let control = &mut self.admission[usize::from(open.likely_hit)];
         // A request without an answer counts only if a server was silent: requests that are rejected at once while
-        // the origin is down or queues are short would pass for an overload.
+        // the origin is down or queues are short would be taken for an overload.
         let silent = open.attempts.iter().any(|a| a.pending || a.timed_out);
         if open.counts_for_admission && (value > 0.0 || silent) && open.arrived_at >= control.cut_at {
             control.ended += 1.0;
@@ -103,13 +106,20 @@
         if admitted >= 1.0 {
             return 0.0;
         }
-        let density = |c: usize, k: &Class| {
-            let work = if self.settings.value_per_work { 1.0 } else { self.stats_of(c).mean.max(1.0) };
-            k.value.max(1e-9) / work
+        // The value of a class per unit of its work, or per nanosecond of its mean answer time.
+        let density = |index: usize, class_settings: &Class| {
+            let work = if self.settings.value_per_work { 1.0 } else { self.stats_of(index).mean.max(1.0) };
+            class_settings.value.max(1e-9) / work
         };
-        let all = self.settings.classes.iter().enumerate().map(|(c, k)| density(c, k));
+        let all = self
+            .settings
+            .classes
+            .iter()
+            .enumerate()
+            .map(|(index, class_settings)| density(index, class_settings));
         let mean = all.sum::<f64>() / self.settings.classes.len().max(1) as f64;
-        let own = self.settings.classes.get(class).map_or(mean, |k| density(class, k));
-        (1.0 - admitted).powf((own / mean).clamp(0.25, 4.0))
+        let own =
+            self.settings.classes.get(class).map_or(mean, |class_settings| density(class, class_settings));
+        (1.0 - admitted).powf((own / mean).clamp(MIN_VALUE_EXPONENT, MAX_VALUE_EXPONENT))
     }
 }
--- a/crates/calicosaddle/src/balancer/attempts.rs
+++ b/crates/calicosaddle/src/balancer/attempts.rs
@@ -19,27 +19,27 @@
 pub(super) const OVERDUE_DEVIATIONS: f64 = 3.5;
 /// An attempt is sent only if this fraction of the mean answer time is left for it.
 pub(super) const MIN_TIME_FRACTION: f64 = 0.5;
-/// Fraction of the time left after which an attempt is overdue: while the class's statistics can't be used yet, and
-/// at least, once they can.
+/// Fraction of the time left after which an attempt is overdue while its class has too few statistics, and the
+/// least such fraction once it has enough.
 const INITIAL_PATIENCE_FRACTION: f64 = 0.5;
 const MIN_PATIENCE_FRACTION: f64 = 0.2;
 
 impl Balancer {
     /// Sends an attempt of a request to a server, with a time-out or a hedge timer if another attempt could follow.
-    pub(super) fn send_attempt(&mut self, now: Nanos, id: RequestId, i: u32, actions: &mut Vec<Action>) {
-        let to_origin = self.is_origin(&self.servers[i as usize]);
-        let s = &mut self.servers[i as usize];
-        s.inflight += 1.0;
+    pub(super) fn send_attempt(&mut self, now: Nanos, id: RequestId, index: u32, actions: &mut Vec<Action>) {
+        let to_origin = self.is_origin(&self.servers[index as usize]);
+        let server = &mut self.servers[index as usize];
+        server.inflight += 1.0;
         self.total_inflight += 1.0;
-        if s.consecutive_failures >= 1 && s.ejection_backoff > 0 {
+        if server.consecutive_failures >= 1 && server.ejection_backoff > 0 {
             // A half-open probe: no second request before the answer to this one is due.
-            s.ejected_until = now + s.ejection_backoff.max(SECOND);
-            s.half_open_probe = true;
+            server.ejected_until = now + server.ejection_backoff.max(SECOND);
+            server.half_open_probe = true;
         }
-        let (server, zone, cell) = (s.entry.server, s.entry.zone, s.entry.cell);
+        let (server_id, zone, cell) = (server.entry.server, server.entry.zone, server.entry.cell);
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         open.attempts.push(Attempt {
-            server,
+            server: server_id,
             zone,
             cell,
             sent_at: now,
@@ -69,30 +69,31 @@
                 timeout = patience as Nanos;
             }
         }
-        actions.push(Action::Send { id, server, timeout });
+        actions.push(Action::Send { id, server: server_id, timeout });
     }
 
-    /// Chooses the least loaded of the servers that stand for the origin.
+    /// Chooses the origin server with the fewest attempts in flight.
     pub(super) fn choose_origin(&self, now: Nanos, open: &OpenRequest) -> Option<u32> {
-        let fits =
-            |s: &Server| Self::accepts_requests(s) && self.is_origin(s) && self.dedup_allows(now, open, s);
-        let all = (0u32..).zip(&self.servers).filter(|(_, s)| fits(s));
-        all.min_by(|a, b| a.1.inflight.total_cmp(&b.1.inflight)).map(|(i, _)| i)
+        let fits = |server: &Server| {
+            Self::accepts_requests(server) && self.is_origin(server) && self.dedup_allows(now, open, server)
+        };
+        let all = (0u32..).zip(&self.servers).filter(|(_, server)| fits(server));
+        all.min_by(|left, right| left.1.inflight.total_cmp(&right.1.inflight)).map(|(index, _)| index)
     }
 
-    /// Sends a miss to the origin, as far as admission control lets it through. Otherwise the origin would go on with
-    /// fetches that no client waits for any more; once overloaded, it would fill no cache and stay overloaded.
+    /// Sends a miss to the origin, as far as admission control allows. Otherwise an overloaded origin would spend its
+    /// capacity on fetches that no client waits for any more, fill no cache, and stay overloaded.
     pub(super) fn fetch_from_origin(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         open.likely_hit = false;
         let class = open.class;
         let allowed = open.attempts.len() < self.settings.max_attempts as usize && now < open.deadline;
         let allowed = allowed && self.rejection_probability(now, class, false) < self.random_unit();
-        match self.open_requests.get(&id).and_then(|o| self.choose_origin(now, o)) {
+        match self.open_requests.get(&id).and_then(|open| self.choose_origin(now, open)) {
             Some(i) if allowed => self.send_attempt(now, id, i, actions),
             _ => {
-                // A rejected fetch says nothing about the origin.
-                self.open_requests.entry(id).and_modify(|o| o.counts_for_admission = false);
+                // A fetch that was not sent must not count as a failure of the origin.
+                self.open_requests.entry(id).and_modify(|open| open.counts_for_admission = false);
                 self.reject_or_fail(id, actions);
             }
         }
@@ -125,7 +126,7 @@
         let server = pending[0];
         // An overdue answer counts as a failure at once: two of them eject a server that hangs.
         self.record_failure(now, server, 1);
-        let allowed = |o: &OpenRequest| o.likely_hit || self.error_ratio <= ORIGIN_ERROR_RATIO;
+        let allowed = |open: &OpenRequest| open.likely_hit || self.error_ratio <= ORIGIN_ERROR_RATIO;
         if self.settings.hedging && self.open_requests.get(&id).is_some_and(allowed) {
             self.retry(now, id, 1.0, actions);
         }
@@ -144,9 +145,9 @@
             RetrySafety::Unsafe => !ran,
         };
         if harmless {
-            // While not all requests are admitted, or servers reject attempts, clients are advised to wait: the more
-            // is rejected, the longer. Clients that come back at once fill the queues again and get the next request
-            // rejected. The cost: after a short overload they stay away longer than needed.
+            // While not all requests are admitted, or servers reject attempts, clients are advised to wait: the
+            // more is rejected, the longer. Clients that retry at once fill the queues again and cause the next
+            // rejections. The cost: after a short overload they wait longer than needed.
             let limited = self.admission[usize::from(open.likely_hit)].admitted_fraction < 1.0;
             let overload =
                 if limited { 1.0 } else { (self.rejected_ratio / OVERLOAD_REJECTED_RATIO).min(1.0) };
--- a/crates/calicosaddle/src/balancer/latency.rs
+++ b/crates/calicosaddle/src/balancer/latency.rs
@@ -6,13 +6,13 @@
 
 /// Least fraction of its buckets that a server keeps.
 ///
-/// Servers give up buckets because weights in the list say nothing of speed: a server that gets more than it can do
-/// in time answers late long before it rejects anything. The rule covers any lasting difference between what a
-/// server gets and what it can do: small machines, neighbours that use the core, hot buckets, a fleet that shrank.
+/// Servers give up buckets because the weights in the list do not reflect speed: a server that gets more than it can
+/// serve in time answers late long before it rejects anything. The rule covers any lasting difference between load
+/// and capacity: small machines, neighbours that use the core, hot buckets, a fleet that shrank.
 /// The cost: each bucket that moves is fetched again, so buckets that move fast, or for random differences, overload
 /// the origin with fetches.
 const MIN_BUCKET_FRACTION: f64 = 0.1;
-/// How fast the fraction moves with each answer.
+/// Relative change of the fraction per answer where the ratio of the score to the mean is at least 1 off the tolerance.
 const BUCKET_FRACTION_GAIN: f64 = 0.015;
 /// A server gives up buckets when its latency score exceeds this multiple of the mean over the servers.
 const LATENCY_SCORE_TOLERANCE: f64 = 1.3;
@@ -44,13 +44,14 @@
 
     /// Records a latency score of a server and moves the fraction of its buckets that it keeps. The score is the
     /// squared ratio of answer time to latency target: one late answer weighs more than two quick ones.
-    pub(super) fn record_latency_score(&mut self, i: u32, score: f64) {
+    pub(super) fn record_latency_score(&mut self, index: u32, score: f64) {
         self.mean_latency_score += MEAN_SCORE_GAIN * (score - self.mean_latency_score);
-        let s = &mut self.servers[i as usize];
-        s.latency_score += SERVER_SCORE_GAIN * (score - s.latency_score);
-        let excess =
-            s.latency_score / self.mean_latency_score.max(MIN_MEAN_LATENCY_SCORE) - LATENCY_SCORE_TOLERANCE;
-        s.bucket_fraction = (s.bucket_fraction * (1.0 - BUCKET_FRACTION_GAIN * excess.clamp(-1.0, 1.0)))
-            .clamp(MIN_BUCKET_FRACTION, 1.0);
+        let server = &mut self.servers[index as usize];
+        server.latency_score += SERVER_SCORE_GAIN * (score - server.latency_score);
+        let excess = server.latency_score / self.mean_latency_score.max(MIN_MEAN_LATENCY_SCORE)
+            - LATENCY_SCORE_TOLERANCE;
+        server.bucket_fraction = (server.bucket_fraction
+            * (1.0 - BUCKET_FRACTION_GAIN * excess.clamp(-1.0, 1.0)))
+        .clamp(MIN_BUCKET_FRACTION, 1.0);
     }
 }
--- a/crates/calicosaddle/src/balancer/mod.rs
+++ b/crates/calicosaddle/src/balancer/mod.rs
@@ -44,6 +44,8 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000_000_000;
+/// Increment of the state of SplitMix64, the generator of random numbers.
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The decision module of one proxy.
 #[derive(Default)]
@@ -60,7 +62,7 @@
     servers: Vec<Server>,
     /// Indices in `servers` of removed servers.
     free_slots: Vec<u32>,
-    /// Changes whenever the subset is drawn; rankings of older versions are made again.
+    /// Incremented whenever the subset is drawn; rankings made from an older subset are recomputed.
     ranking_version: u64,
     /// Servers that this proxy sends to, and their weight.
     subset: Vec<u32>,
@@ -77,8 +79,11 @@
     class_stats: Vec<ClassStats>,
     /// Decaying count of requests.
     request_count: f64,
+    /// When `request_count` was last updated.
     counted_at: Nanos,
+    /// Attempts of this proxy that have not ended, at all servers.
     total_inflight: f64,
+    /// Retries and hedges that may be sent now.
     retry_budget: f64,
 
     // Moving measures of outcomes.
@@ -91,7 +96,7 @@
     /// Moving mean of the latency scores of all servers.
     mean_latency_score: f64,
 
-    // Admission control: requests that are not likely hits, and those that are.
+    // Admission control, for requests that are not likely hits and for those that are.
     admission_updated_at: Nanos,
     admission: [AdmissionControl; 2],
 }
@@ -116,27 +121,28 @@
                 self.update_subset();
             }
             Event::Arrival(request) => self.handle_arrival(now, request, actions),
-            Event::Outcome(o) => self.handle_outcome(now, &o, actions),
+            Event::Outcome(outcome) => self.handle_outcome(now, &outcome, actions),
             Event::Probed { server, status: Status::Ok, .. } => self.clear_failures(server),
             Event::Timer(token) if token >> 56 == HEDGE_TIMER >> 56 => {
                 self.handle_hedge_timer(now, token & (HEDGE_TIMER - 1), actions)
             }
             Event::Probed { .. } | Event::Timer(_) => {}
-            // A client that left while its answer could still be in time says nothing about the servers. If it
-            // counted, many clients that leave early or all at once would pass for an overload.
+            // A client that leaves while its answer could still be in time is no sign of a slow server. If it
+            // counted, many clients that leave early or all at once would be taken for an overload.
             Event::Abandoned(id) => {
-                let late = self.open_requests.remove(&id).filter(|o| o.target_at.min(o.deadline) <= now);
-                late.iter().for_each(|o| self.record_request_end(o, 0.0));
+                let late =
+                    self.open_requests.remove(&id).filter(|open| open.target_at.min(open.deadline) <= now);
+                late.iter().for_each(|open| self.record_request_end(open, 0.0));
             }
             Event::StreamStarted(id) => {
-                self.open_requests.get_mut(&id).into_iter().for_each(|o| o.streaming = true)
+                self.open_requests.get_mut(&id).into_iter().for_each(|open| open.streaming = true)
             }
         }
     }
 
-    /// Draws a random number above 0 and at most 1.
+    /// Draws a random number above 0 and at most 1 (SplitMix64).
     fn random_unit(&mut self) -> f64 {
-        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.random_state = self.random_state.wrapping_add(SPLITMIX64_INCREMENT);
         unit(mix(self.random_state))
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of request classes, and of tenants, in the settings.
 const MAX_SETTINGS_ROWS: usize = 4096;
-/// Longest span taken from the wire, so that adding it to a time does not overflow.
+/// Longest duration accepted from the wire, so that adding it to a time does not overflow.
 const MAX_SPAN_NS: Nanos = u64::MAX / 4;
 
 /// Bits of the `flags` field of a request.
@@ -61,6 +61,7 @@
 
 type Fields<'a> = std::str::Split<'a, char>;
 
+/// Reads the next field; `name` names it in the error.
 fn required<'a>(fields: &mut Fields<'a>, name: &str) -> Result<&'a str, String> {
     match fields.next() {
         Some("") | None => Err(format!("{name} is missing")),
@@ -82,7 +83,7 @@
     }
 }
 
-/// Reads a span in nanoseconds. A negative span is one that is already over and becomes 0.
+/// Reads a duration in nanoseconds. A negative one is the time left until a moment that has passed, and becomes 0.
 fn span(fields: &mut Fields, name: &str) -> Result<Nanos, String> {
     Ok(number::<i128>(fields, name)?.clamp(0, i128::from(MAX_SPAN_NS)) as Nanos)
 }
@@ -296,6 +297,8 @@
     Ok(settings)
 }
 
+/// Sets a field of a request class by its name in the settings; unknown fields are skipped. `path` names the setting in
+/// an error.
 fn set_class_field(class: &mut Class, field: &str, path: &str, value: &str) -> Result<(), String> {
     match field {
         "promise_ns" => set(&mut class.latency_target, path, value)?,
@@ -308,7 +311,7 @@
             class.retry_safety = match value {
                 "safe" => RetrySafety::Safe,
                 "keyed" => RetrySafety::Keyed,
-                // An unknown effect is held to the strictest rule.
+                // An unknown effect is taken for the one that never allows a repeat.
                 _ => RetrySafety::Unsafe,
             }
         }
@@ -316,6 +319,7 @@
             class.dedup_scope = match value {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
+                // An unknown group is taken for the smallest scope.
                 _ => DedupScope::Cell,
             }
         }
@@ -324,6 +328,7 @@
     Ok(())
 }
 
+/// Sets any other setting by its path; unknown paths are skipped.
 fn set_field(settings: &mut Settings, path: &str, value: &str) -> Result<(), String> {
     match path {
         "zone" => set(&mut settings.zone, path, value)?,
