--- a/crates/addresses/src/lib.rs
+++ b/crates/addresses/src/lib.rs
@@ -1,11 +1,11 @@
 //! The addresses of a cache box: the order in which they are tried, how many at once, and the health of each.
 //!
 //! Follows RFC 8305 ("Happy Eyeballs Version 2"): families alternate (section 4), connection attempts are staggered
-//! (section 5), and the first that comes up wins. It differs from the RFC in three ways: the delay between two attempts
-//! is the measured time of handshakes with the box; no more than two attempts are in progress at once; and an address
-//! that accepts connections but does not answer is ejected, too. Health is learned from ordinary requests, not from
-//! separate checks. The crate has no I/O and no clock: times are nanoseconds on any single clock, and random numbers
-//! come from a seed.
+//! (section 5), and the first that is established wins. It differs from the RFC in three ways: the delay between two
+//! attempts is the measured time of handshakes with the box; no more than two attempts are in progress at once; and an
+//! address that accepts connections but does not answer is ejected, too. Health is learned from ordinary requests, not
+//! from separate checks. The crate has no I/O and no clock: times are nanoseconds on any single clock, and random
+//! numbers come from a seed.
 
 mod race;
 mod table;
@@ -106,6 +106,7 @@
     }
 }
 
+/// Writes the form that [`Address::from_str`] parses.
 impl fmt::Display for Address {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -120,7 +121,7 @@
     pub fn family(&self) -> Family {
         match self {
             Address::Tcp(SocketAddr::V4(_)) => Family::V4,
-            Address::Tcp(SocketAddr::V6(a)) if a.ip().to_ipv4_mapped().is_some() => Family::V4,
+            Address::Tcp(SocketAddr::V6(address)) if address.ip().to_ipv4_mapped().is_some() => Family::V4,
             Address::Tcp(SocketAddr::V6(_)) => Family::V6,
             Address::Unix(_) => Family::Unix,
         }
--- a/crates/addresses/src/race.rs
+++ b/crates/addresses/src/race.rs
@@ -1,10 +1,11 @@
 //! A connection race (Happy Eyeballs): concurrent connection attempts to the addresses of one box. Only connections are
-//! raced, never a request, which waits for the connection that comes up first.
+//! raced, never a request, which waits for the connection that is established first.
 
 use crate::AddressId;
 use std::collections::VecDeque;
 
-/// Connection attempts in progress at once. Each that comes up costs the box a handshake, also the one that loses.
+/// The most connection attempts in progress at once. Each connection that is established costs the box a handshake,
+/// also one that loses the race.
 pub const MAX_CONCURRENT_ATTEMPTS: usize = 2;
 
 /// The attempts to open one connection.
--- a/crates/addresses/src/table.rs
+++ b/crates/addresses/src/table.rs
@@ -16,7 +16,7 @@
 /// A cancelled request shows that an address is silent if it waited at least this long, and longer than answers of this
 /// box take.
 const MIN_CANCELLED_WAIT: Nanos = 50 * MS;
-/// This many consecutive cancelled requests that each waited for the mean time of an answer show the same.
+/// This many consecutive cancelled requests that each waited for the mean answer time and a deviation show the same.
 const CANCELLED_IN_A_ROW: u32 = 3;
 /// How long the record of an address that left the list is kept, since lists flap.
 pub const REMOVED_RETENTION: Nanos = 120_000 * MS;
@@ -24,11 +24,21 @@
 const DEFAULT_ATTEMPT_DELAY: Nanos = 250 * MS;
 /// The shortest and the longest delay before the next connection attempt.
 const ATTEMPT_DELAY_BOUNDS: [Nanos; 2] = [10 * MS, 250 * MS];
+/// An ejection is doubled at most this many times, which already exceeds [`MAX_EJECTION`].
+const MAX_EJECTION_DOUBLINGS: u32 = 10;
+/// The delay before the next connection attempt is the mean handshake time and this many deviations, as in TCP's
+/// retransmission timeout (RFC 6298).
+const ATTEMPT_DELAY_DEVIATIONS: Nanos = 4;
+/// A request is left unanswered for long if it waited for the mean answer time and this many deviations.
+const LONG_WAIT_DEVIATIONS: Nanos = 8;
+/// The same for one of several consecutive cancelled requests.
+const CANCELLED_WAIT_DEVIATIONS: Nanos = 1;
 
 /// Identifies an address within its table, for the lifetime of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AddressId(u32);
 
+/// An address and what is known of its health.
 #[derive(Clone, Debug)]
 struct Entry {
     id: AddressId,
@@ -36,7 +46,7 @@
     /// The smoothed mean and deviation of the duration of handshakes.
     handshake: Option<(Nanos, Nanos)>,
     consecutive_failures: u32,
-    /// The last failure was a connection that did not come up.
+    /// The last failure was a connection that was not established.
     refused: bool,
     ejected_until: Nanos,
     /// When the half-open probe in progress began.
@@ -111,6 +121,7 @@
         !same
     }
 
+    /// The entries of the listed addresses, in the list's order.
     fn listed(&self) -> impl Iterator<Item = &Entry> {
         self.entries.iter().filter(|e| e.removed_at.is_none())
     }
@@ -216,7 +227,7 @@
     /// handshakes take, limited to a part of the request's remaining time.
     pub fn attempt_delay(&self, id: AddressId, remaining: Nanos) -> Nanos {
         let usual = match self.get(id).and_then(|e| e.handshake) {
-            Some((mean, deviation)) => mean + 4 * deviation,
+            Some((mean, deviation)) => mean + ATTEMPT_DELAY_DEVIATIONS * deviation,
             None => DEFAULT_ATTEMPT_DELAY,
         };
         let [shortest, longest] = ATTEMPT_DELAY_BOUNDS;
@@ -225,7 +236,7 @@
 
     // ---- outcomes of connections and requests ----
 
-    /// A connection came up. That does not show that anything will answer on it.
+    /// A connection was established, which does not show that the box answers on it.
     pub fn connected(&mut self, id: AddressId, handshake: Nanos) {
         let Some(entry) = self.get_mut(id) else { return };
         entry.handshake = Some(smooth(entry.handshake, handshake));
@@ -246,7 +257,7 @@
         }
     }
 
-    /// A connection did not come up, or ended before its first answer.
+    /// A connection was not established, or ended before its first answer.
     pub fn connection_failed(&mut self, id: AddressId, now: Nanos) {
         self.record_failure(id, now, true);
     }
@@ -258,9 +269,11 @@
         let exceeds = |deviations: Nanos, least: Nanos| {
             answer_time.is_some_and(|(mean, deviation)| waited >= (mean + deviations * deviation).max(least))
         };
-        if cancelled && !exceeds(8, MIN_CANCELLED_WAIT) {
-            // One short wait shows little; several in a row show that the address is silent.
-            let Some(entry) = self.get_mut(id).filter(|_| exceeds(1, 0)) else { return false };
+        if cancelled && !exceeds(LONG_WAIT_DEVIATIONS, MIN_CANCELLED_WAIT) {
+            // One short wait is weak evidence; several in a row show that the address is silent.
+            let Some(entry) = self.get_mut(id).filter(|_| exceeds(CANCELLED_WAIT_DEVIATIONS, 0)) else {
+                return false;
+            };
             entry.cancelled += 1;
             if entry.cancelled < CANCELLED_IN_A_ROW {
                 return false;
@@ -275,6 +288,7 @@
         true
     }
 
+    /// Counts a failure of an address, and ejects it for a time that doubles with each consecutive failure.
     fn record_failure(&mut self, id: AddressId, now: Nanos, refused: bool) {
         let jitter = 1.0 - EJECTION_JITTER + 2.0 * EJECTION_JITTER * self.rng.f64();
         let Some(entry) = self.get_mut(id) else { return };
@@ -283,7 +297,9 @@
             return;
         }
         let base = if refused { REFUSED_EJECTION } else { SILENT_EJECTION };
-        let ejection = base.saturating_mul(1 << entry.consecutive_failures.min(10)).min(MAX_EJECTION);
+        let ejection = base
+            .saturating_mul(1 << entry.consecutive_failures.min(MAX_EJECTION_DOUBLINGS))
+            .min(MAX_EJECTION);
         entry.consecutive_failures += 1;
         entry.refused = refused;
         entry.probe_began = None;
--- a/crates/addresses/tests/table.rs
+++ b/crates/addresses/tests/table.rs
@@ -146,7 +146,7 @@
         assert!(!order.is_empty());
         order.into_iter().for_each(|id| assert!(slow.request_unanswered(id, ms * MS, false, ms * MS)));
     }
-    // A single address stays in the order whatever its failures.
+    // A single address stays in the order regardless of its failures.
     let mut single = table(&[FOUR]);
     let id = single.connection_order(0, true)[0];
     (0..20).for_each(|i| single.connection_failed(id, i));
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -43,6 +43,22 @@
 const MIN_CALL_INTERVAL: Nanos = 200 * MS;
 /// The planned rate of calls of all proxies together at one discovery, for when most of them start at once.
 const FLEET_CALLS_PER_SECOND: u64 = 50;
+/// The shortest period over which the calls of all proxies are spread.
+const MIN_FLEET_SPREAD: Nanos = 400 * MS;
+/// The least part of the spread period, and of a backoff, that a random delay takes.
+const MIN_SPREAD_PART: f64 = 0.2;
+/// The least part of the longest step that a random delay takes.
+const MIN_STEP_PART: f64 = 0.75;
+/// A backoff is doubled at most this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// The longest backoff, as a divisor of the maximum poll interval.
+const MAX_BACKOFF_DIVISOR: Nanos = 3;
+/// Attempts to reach an agent on this machine within one drain grace, and the bounds of the time between two.
+const AGENT_ATTEMPTS_PER_DRAIN_GRACE: Nanos = 5;
+const MIN_AGENT_RETRY_INTERVAL: Nanos = 20 * MS;
+const MAX_AGENT_RETRY_INTERVAL: Nanos = 100 * MS;
+/// Increment of the state of SplitMix64, the generator of random numbers.
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The part of the settings that determines when calls are made.
 #[derive(Clone, Copy, Debug)]
@@ -58,16 +74,17 @@
 }
 
 impl From<&Settings> for PollConfig {
-    fn from(s: &Settings) -> PollConfig {
+    fn from(settings: &Settings) -> PollConfig {
         PollConfig {
-            pushed: !s.poll_discovery,
-            proxies: s.proxy_count,
-            max_poll_interval: s.discovery_poll_interval,
-            drain_grace: s.drain_grace,
+            pushed: !settings.poll_discovery,
+            proxies: settings.proxy_count,
+            max_poll_interval: settings.discovery_poll_interval,
+            drain_grace: settings.drain_grace,
         }
     }
 }
 
+/// Whether a call is in progress, and of which kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// No call is in progress.
@@ -105,7 +122,7 @@
         };
         if !config.pushed {
             let spread = scheduler.fleet_spread();
-            scheduler.state = State::Idle { next_call: now + scheduler.random_part(spread, 0.2) };
+            scheduler.state = State::Idle { next_call: now + scheduler.random_part(spread, MIN_SPREAD_PART) };
         }
         scheduler
     }
@@ -123,8 +140,9 @@
         }
     }
 
-    /// True if a call that does not wait is to begin now. A call still in progress then counts as silent, but its
-    /// connection is to be read further: an answer counts as notified once discovery has written it.
+    /// Starts a call that does not wait if one is due, and returns whether it did; the host then makes the call. A call
+    /// still in progress counts as silent from then on, but the host continues to read its connection: an answer counts
+    /// as notified once discovery has written it.
     pub fn start_if_due(&mut self, now: Nanos) -> bool {
         let due = self.next_wakeup() <= now;
         if due {
@@ -133,7 +151,7 @@
         due
     }
 
-    /// The answer to the call in progress has stalled midway: another call begins now, as if it were due.
+    /// Starts a call that does not wait in place of the one in progress, whose answer has stalled midway.
     pub fn start_replacement(&mut self, now: Nanos) {
         match self.state {
             State::Idle { .. } => {}
@@ -168,9 +186,13 @@
         let delay = if self.config.pushed {
             self.agent_retry_interval()
         } else {
-            let longest = (self.config.max_poll_interval / 3).max(SECOND).max(self.fleet_spread());
-            let backoff = self.random_part((self.fleet_spread() << self.failures.min(8)).min(longest), 0.2);
-            backoff.min(self.random_part(self.longest_step(now), 0.75))
+            let longest_backoff =
+                (self.config.max_poll_interval / MAX_BACKOFF_DIVISOR).max(SECOND).max(self.fleet_spread());
+            let backoff = self.random_part(
+                (self.fleet_spread() << self.failures.min(MAX_BACKOFF_DOUBLINGS)).min(longest_backoff),
+                MIN_SPREAD_PART,
+            );
+            backoff.min(self.random_part(self.longest_step(now), MIN_STEP_PART))
         };
         self.state = State::Idle { next_call: now + delay };
     }
@@ -182,13 +204,15 @@
         self.state = State::Idle { next_call: now };
     }
 
+    /// Records that an update missed by now would count as notified at this time; the earliest such time is kept.
     fn note_missed_update(&mut self, notified_at: Nanos) {
         self.missed_update_deadline =
             Some(self.missed_update_deadline.map_or(notified_at, |earliest| earliest.min(notified_at)));
     }
 
-    /// The longest time that the next step may take: half of the time left until a missed update counts as notified, so
-    /// that several steps fit. Past that moment the limit grows with the time since it, which backs off.
+    /// The longest time that the next call, or the delay before it, may take: half of the time left until a missed
+    /// update counts as notified, so that several calls fit. Past that moment the limit grows with the time since then,
+    /// which makes the calls back off.
     fn longest_step(&self, now: Nanos) -> Nanos {
         self.missed_update_deadline
             .map_or(Nanos::MAX, |deadline| (deadline.abs_diff(now) / 2).max(MIN_CALL_INTERVAL))
@@ -205,7 +229,8 @@
 
     /// The time between two attempts to reach an agent on this machine: several within the drain grace.
     fn agent_retry_interval(&self) -> Nanos {
-        (self.config.drain_grace / 5).clamp(20 * MS, 100 * MS)
+        (self.config.drain_grace / AGENT_ATTEMPTS_PER_DRAIN_GRACE)
+            .clamp(MIN_AGENT_RETRY_INTERVAL, MAX_AGENT_RETRY_INTERVAL)
     }
 
     /// The longest planned time without a call: the maximum poll interval less a margin.
@@ -216,7 +241,7 @@
     /// The period over which the calls of all proxies are spread, for about [`FLEET_CALLS_PER_SECOND`].
     fn fleet_spread(&self) -> Nanos {
         (Nanos::from(self.config.proxies) * SECOND / FLEET_CALLS_PER_SECOND)
-            .clamp(400 * MS, self.longest_call_gap())
+            .clamp(MIN_FLEET_SPREAD, self.longest_call_gap())
     }
 
     /// A random part of a duration, from `least` of it up to all of it.
@@ -226,7 +251,7 @@
 
     /// The next random number, from 0 (inclusive) to 1 (exclusive), by SplitMix64.
     fn random(&mut self) -> f64 {
-        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.random_state = self.random_state.wrapping_add(SPLITMIX64_INCREMENT);
         let mut x = self.random_state;
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/freshness/src/subscription.rs
+++ b/crates/freshness/src/subscription.rs
@@ -3,14 +3,16 @@
 use crate::{Nanos, PollConfig, PollScheduler};
 use calicosaddle::api::{Action, Event, ListKind, Settings};
 
-/// Token of the subscription's timer, apart from those that the module uses.
+/// Token of the subscription's timer, distinct from the tokens of the balancer.
 const TIMER_TOKEN: u64 = 2 << 56;
 
-/// Subscribes on behalf of a module whose settings require polling for lists, and again after each failure.
+/// Subscribes to server lists on behalf of a balancer whose settings require polling for them, and again after each
+/// failure.
 #[derive(Debug)]
 pub struct Subscription {
     /// The scheduler's configuration and seed, until the cached list starts it.
     pending: Option<(PollConfig, u64)>,
+    /// `None` before the cached list, or if the settings require no polling.
     scheduler: Option<PollScheduler>,
     subscribed: bool,
 }
@@ -22,7 +24,8 @@
         Subscription { pending, scheduler: None, subscribed: false }
     }
 
-    /// Handles an event that the module gets too, and appends the resulting actions.
+    /// Handles an event that the balancer gets too, and appends the resulting actions. The cached list, which is the
+    /// first list of a process, starts the scheduler; other events before it are ignored.
     pub fn handle(&mut self, now: Nanos, event: &Event, actions: &mut Vec<Action>) {
         if let Event::ServerList { kind: ListKind::Cached, .. } = event {
             self.scheduler = self.pending.take().map(|(config, seed)| PollScheduler::new(config, seed, now));
--- a/crates/freshness/tests/histories.rs
+++ b/crates/freshness/tests/histories.rs
@@ -99,7 +99,7 @@
         prop_assert!(began.len() > all.len(), "calls before {} ms, when notified: {:?}", notified_at / MS, began);
     }
 
-    /// Where lists are pushed, the agent is called again within half of the drain grace, whatever the results.
+    /// Where lists are pushed, the agent is called again within half of the drain grace, regardless of the results.
     #[test]
     fn an_agent_is_called_again_within_half_of_the_drain_grace(
         grace in 100u64..2_000, seed: u64, results in prop::collection::vec(failed_call(), 20),
--- a/crates/pipeline/src/connection_limit.rs
+++ b/crates/pipeline/src/connection_limit.rs
@@ -11,13 +11,15 @@
 ///
 /// Without the limit, each request to a box whose connection table is full would open a connection there, lose it and
 /// pay for a handshake, from a hundred proxies at once. The limit also adapts to boxes that count connections in a
-/// smaller unit than was planned for. A box that is down refuses connections as well, which says nothing of its limit,
-/// so only a refusal beside a connection that holds counts.
+/// smaller unit than was planned for. A box that is down refuses connections as well, which is unrelated to its limit,
+/// so a refusal counts only if other connections to the box are answering.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionLimit {
     /// The connections held when one more was refused; `None` if none ever was.
     limit: Option<usize>,
+    /// No connection beyond the limit is tried before this time.
     paused_until: Nanos,
+    /// The length of the last pause.
     pause: Nanos,
 }
 
--- a/crates/pipeline/src/latency.rs
+++ b/crates/pipeline/src/latency.rs
@@ -2,9 +2,9 @@
 
 use crate::{CommandKind, Nanos};
 
-/// The upper end of the first bucket.
+/// The upper end of the first bucket. Shorter latencies are not told apart.
 const MIN_RESOLVED: Nanos = 64_000;
-/// Two buckets per octave, from 64 us to 4 s.
+/// The number of buckets: two per octave, from 64 us to 4 s.
 const BUCKETS: usize = 33;
 /// Beyond this many samples, all counts are halved.
 const MAX_SAMPLES: u16 = 512;
@@ -31,13 +31,15 @@
     let mut bucket = 0;
     while bucket < BUCKETS {
         let octave = MIN_RESOLVED << (bucket / 2);
+        // 1 + 53/128 approximates the square root of two.
         ends[bucket] = if bucket % 2 == 0 { octave } else { octave + octave * 53 / 128 };
         bucket += 1;
     }
     ends
 };
 
-/// The latency that represents a bucket.
+/// The latency that represents a bucket: about the middle between its ends, which are a factor of the square root of
+/// two apart.
 fn midpoint(bucket: usize) -> Nanos {
     UPPER_ENDS[bucket] - UPPER_ENDS[bucket] / 7
 }
@@ -52,7 +54,7 @@
         self.counts[bucket] += 1;
         self.total += 1;
         if self.total > MAX_SAMPLES {
-            self.counts.iter_mut().for_each(|n| *n /= 2);
+            self.counts.iter_mut().for_each(|count| *count /= 2);
             self.total = self.counts.iter().sum();
         }
     }
@@ -70,8 +72,8 @@
         }
         let wanted = f64::from(self.total) * part;
         let mut sum = 0.0;
-        for (bucket, n) in self.counts.iter().enumerate() {
-            sum += f64::from(*n);
+        for (bucket, count) in self.counts.iter().enumerate() {
+            sum += f64::from(*count);
             if sum >= wanted {
                 return Some(UPPER_ENDS[bucket]);
             }
@@ -79,9 +81,9 @@
         Some(UPPER_ENDS[BUCKETS - 1])
     }
 
-    /// The largest sample, if there is any.
+    /// The upper end of the bucket of the largest sample, if there is any.
     pub fn max(&self) -> Option<Nanos> {
-        self.counts.iter().rposition(|n| *n > 0).map(|bucket| UPPER_ENDS[bucket])
+        self.counts.iter().rposition(|count| *count > 0).map(|bucket| UPPER_ENDS[bucket])
     }
 
     /// The expected remaining time of something that has taken `age` so far: the mean excess of the longer samples. What
@@ -90,12 +92,12 @@
         if self.total < MIN_SAMPLES {
             return None;
         }
-        let (mut n, mut sum) = (0.0, 0.0);
-        for (bucket, count) in self.counts.iter().enumerate().filter(|(b, _)| midpoint(*b) > age) {
-            n += f64::from(*count);
-            sum += f64::from(*count) * (midpoint(bucket) - age) as f64;
+        let (mut samples, mut excess) = (0.0, 0.0);
+        for (bucket, count) in self.counts.iter().enumerate().filter(|(bucket, _)| midpoint(*bucket) > age) {
+            samples += f64::from(*count);
+            excess += f64::from(*count) * (midpoint(bucket) - age) as f64;
         }
-        Some(if n < 0.5 { age } else { (sum / n) as Nanos })
+        Some(if samples < 0.5 { age } else { (excess / samples) as Nanos })
     }
 }
 
@@ -107,7 +109,7 @@
     /// From one answer to the next, for commands written behind others: almost zero at a box that processes the commands
     /// of a connection concurrently, a full service time at one that processes them one by one.
     answer_gap: LatencyHistogram,
-    /// From the first packet of a connection until it is up.
+    /// From the first packet of a connection until it is established.
     connect_time: LatencyHistogram,
 }
 
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Records how long a connection took to come up.
+    /// Records how long a connection took to be established.
     pub fn record_connect(&mut self, connect_time: Nanos) {
         self.connect_time.record(connect_time);
     }
@@ -143,7 +145,7 @@
         &self.answer_gap
     }
 
-    /// The time that connections took to come up.
+    /// The time that connections took to be established.
     pub fn connect_time(&self) -> &LatencyHistogram {
         &self.connect_time
     }
--- a/crates/pipeline/src/placement.rs
+++ b/crates/pipeline/src/placement.rs
@@ -52,9 +52,9 @@
 pub struct ConnectionState<'a, K> {
     /// The host's key for it.
     pub key: K,
-    /// It is up; otherwise it is still connecting.
+    /// It is established; otherwise it is still connecting.
     pub connected: bool,
-    /// When it last carried anything, or when it began to connect if it is not up yet.
+    /// When it last carried anything, or when it began to connect if it is not established yet.
     pub active_since: Nanos,
     /// The end of its settle delay, before which nothing is written to it.
     pub writable_at: Nanos,
@@ -161,7 +161,7 @@
     latencies: LatencyContext<'_>,
     now: Nanos,
 ) -> Option<Nanos> {
-    let own = latencies.expected_remaining(|b| b.head_latency(request.kind), 0)?;
+    let own = latencies.expected_remaining(|measured| measured.head_latency(request.kind), 0)?;
     let gap = latencies.expected_remaining(BoxLatencies::answer_gap, 0).unwrap_or(0);
     let gaps = gap * connection.depth as Nanos;
     if !connection.connected {
@@ -208,15 +208,18 @@
         !c.is_idle() && c.depth < max_depth && (c.same_kind || !config.separate_kinds) && !stalled
     };
     let busy = connections.filter(accepts);
-    let on_new = || expected_latency_on_new(request, latencies, config);
-    if let Some(on_new) = (config.placement == PlacementPolicy::Expected).then(on_new).flatten() {
+    let latency_on_new = || expected_latency_on_new(request, latencies, config);
+    if let Some(latency_on_new) =
+        (config.placement == PlacementPolicy::Expected).then(latency_on_new).flatten()
+    {
         let timed = busy.clone().filter_map(|c| Some((expected_latency(&c, request, latencies, now)?, c)));
         let best = timed.min_by_key(|(latency, c)| (*latency, c.depth));
         return match best {
-            Some((latency, c))
-                if now + latency <= request.target_time && (!request.may_open || latency <= on_new) =>
+            Some((latency, connection))
+                if now + latency <= request.target_time
+                    && (!request.may_open || latency <= latency_on_new) =>
             {
-                Placement::Pipelined(c.key)
+                Placement::Pipelined(connection.key)
             }
             _ if request.may_open => Placement::New,
             // An answer after the target time is worth little, and would delay the answers behind it.
--- a/crates/pipeline/src/queue.rs
+++ b/crates/pipeline/src/queue.rs
@@ -73,11 +73,14 @@
 /// The commands of one connection. Each command is queued, in the batch or in flight, and leaves exactly once.
 #[derive(Debug)]
 pub struct Pipeline<C: Command> {
+    /// The commands of which nothing is written.
     queued: VecDeque<C>,
     /// The commands being written, each with the range of its bytes within the batch.
     batch: VecDeque<(C, Range<usize>)>,
+    /// The size of the batch, and how many of its bytes are written.
     batch_bytes: usize,
     written_bytes: usize,
+    /// The commands that are written and not answered, in the order of their answers.
     in_flight: VecDeque<InFlight<C::Tag>>,
     /// How many of the commands in flight are not cancelled.
     uncancelled_in_flight: usize,
--- a/crates/pipeline/src/settle_delay.rs
+++ b/crates/pipeline/src/settle_delay.rs
@@ -11,7 +11,7 @@
 /// settle delay is over.
 ///
 /// Boxes are known to send a second answer some milliseconds late. [`SettleDelay::INITIAL`] covers the delays that were
-/// measured; a later one that arrives while nothing is in flight lengthens the settle delay. Answers later than that
+/// observed; a later one that arrives while nothing is in flight lengthens the settle delay. Answers later than that
 /// still pass: the delay reduces the risk, and only ids would remove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettleDelay {
@@ -23,7 +23,7 @@
     pub const NONE: SettleDelay = SettleDelay { duration: 0 };
     /// The default initial delay. In a day of 300 proxies, all 33 second answers came 1 to 4 ms behind the first one.
     pub const INITIAL: Nanos = 5 * MS;
-    /// The longest delay. Later bytes are no second answer, but something that a box sends of its own accord.
+    /// The longest delay. Later bytes are not a second answer, but unsolicited for some other reason.
     pub const MAX: Nanos = 50 * MS;
 
     /// This initial delay, or [`SettleDelay::INITIAL`] for `None`.
