--- a/crates/resp/benches/codec.rs
+++ b/crates/resp/benches/codec.rs
@@ -11,8 +11,11 @@
 use std::time::Instant;
 
 const RUNS: usize = 5;
-/// Scales the number of replies, which falls with the length of the value.
+/// The number of replies in the input is `REPLIES * UNIT_BYTES / (length of the value + UNIT_BYTES) + MIN_REPLIES`, so
+/// that an input of long values does not become too large.
 const REPLIES: usize = 20_000;
+const UNIT_BYTES: usize = 64;
+const MIN_REPLIES: usize = 200;
 /// The size of the pieces in which the input arrives, as from a socket.
 const PIECE_BYTES: usize = 16 << 10;
 
@@ -38,7 +41,7 @@
     served
 }
 
-/// Parses the replies into frames.
+/// Parses the replies into trees of frames.
 fn read_frames(input: &[u8]) -> usize {
     let (mut reader, mut count) = (FrameReader::default(), 0);
     for mut piece in input.chunks(PIECE_BYTES) {
@@ -51,9 +54,11 @@
     count
 }
 
+/// Prints the time per reply for values of three lengths: with this project's reply readers for RESP2 and RESP3, its
+/// frame trees (`trees`), and the decoders of the redis-protocol crate.
 fn main() {
     for length in [32, 1_024, 65_536] {
-        let replies = REPLIES * 64 / (length + 64).max(64) + 200;
+        let replies = REPLIES * UNIT_BYTES / (length + UNIT_BYTES).max(UNIT_BYTES) + MIN_REPLIES;
         let value = "v".repeat(length);
         let resp2_input = format!("*3\r\n${length}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n").repeat(replies);
         let resp3_input = format!("*3\r\n${length}\r\n{value}\r\n$3\r\nhit\r\n_\r\n").repeat(replies);
--- a/crates/resp/fuzz/fuzz_targets/frames.rs
+++ b/crates/resp/fuzz/fuzz_targets/frames.rs
@@ -5,6 +5,7 @@
 use libfuzzer_sys::fuzz_target;
 use resp::{Frame, FrameReader, Limits, Protocol, ProtocolError};
 
+/// Parses the pieces one after another. Returns all frames, or the error and the frames before it.
 fn read(pieces: [&[u8]; 2], limits: Limits) -> Result<Vec<Frame>, (Vec<Frame>, ProtocolError)> {
     let (mut reader, mut frames) = (FrameReader::new(limits), Vec::new());
     for mut piece in pieces {
--- a/crates/resp/fuzz/fuzz_targets/replies.rs
+++ b/crates/resp/fuzz/fuzz_targets/replies.rs
@@ -5,6 +5,8 @@
 use libfuzzer_sys::fuzz_target;
 use resp::{HelloReplyParser, Protocol, ReplyKind, ReplyReader, ServerMessage};
 
+/// Parses the pieces one after another. Returns each message with the bytes that were taken for it, and whether all of
+/// the input was valid.
 fn read(pieces: [&[u8]; 2], protocol: Protocol) -> (Vec<(ServerMessage, Vec<u8>)>, bool) {
     let (mut reader, mut messages, mut raw) = (ReplyReader::new(protocol), Vec::new(), Vec::new());
     for mut piece in pieces {
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// What the parser expects next.
 #[derive(Clone, Copy, Debug)]
 enum CommandState {
     Start,
--- a/crates/resp/src/decode.rs
+++ b/crates/resp/src/decode.rs
@@ -103,6 +103,11 @@
     Chunks(usize),
 }
 
+/// The longest text of an integer: a sign and the 19 digits of a 64-bit number.
+const MAX_INTEGER_BYTES: usize = 20;
+/// The longest text of a double.
+const MAX_DOUBLE_BYTES: usize = 128;
+
 /// The types that consist of one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LineType {
@@ -121,8 +126,8 @@
         match self {
             LineType::Null => 0,
             LineType::Boolean => 1,
-            LineType::Integer => 20,
-            LineType::Double => 128,
+            LineType::Integer => MAX_INTEGER_BYTES,
+            LineType::Double => MAX_DOUBLE_BYTES,
             LineType::BigNumber | LineType::SimpleString | LineType::SimpleError => MAX_LINE_BYTES,
         }
     }
@@ -145,6 +150,7 @@
     }
 }
 
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug)]
 enum State {
     /// Expects the type byte of a frame or chunk.
@@ -205,7 +211,7 @@
         }
     }
 
-    /// True if the input so far ends within a frame.
+    /// True if the input so far ends within a frame, or between an attribute and its value.
     pub fn in_progress(&self) -> bool {
         !matches!(self.state, State::Type) || !self.stack.is_empty() || self.usage.attributed
     }
@@ -536,6 +542,7 @@
     }
 }
 
+/// The text of a number without its sign, if it has one.
 fn without_sign(text: &[u8]) -> &[u8] {
     text.strip_prefix(b"-").or(text.strip_prefix(b"+")).unwrap_or(text)
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -30,7 +30,7 @@
 /// The longest line, note or load report.
 const MAX_LINE_BYTES: usize = 1 << 10;
 
-/// The version of the protocol that one side of a connection speaks.
+/// The version of the protocol that is used on a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Protocol {
     /// RESP2, in which every connection starts.
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -134,6 +134,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
+/// What the parser expects next.
 #[derive(Clone, Copy, Debug)]
 enum ReplyState {
     Type,
@@ -149,7 +150,7 @@
 /// error line.
 ///
 /// Any other reply is a protocol error, after which nothing on the connection can be trusted: a lenient
-/// parser could take noise or the tail of another reply for the requested value. For the same reason, replies
+/// parser could take garbage or the tail of another reply for the requested value. For the same reason, replies
 /// with elements that a later version of the node adds are refused.
 #[derive(Debug)]
 pub struct ReplyParser {
--- a/crates/resp/src/resp3.rs
+++ b/crates/resp/src/resp3.rs
@@ -94,6 +94,7 @@
         }
     }
 
+    /// Takes the next event of the reply.
     fn add_event(&mut self, event: Event<'_>) -> Result<(), ProtocolError> {
         match event {
             Event::AggregateBegin(Aggregate::Attribute, _) => {
@@ -264,7 +265,7 @@
     }
 }
 
-/// Reads the replies on a connection to a server, in the protocol that the server speaks.
+/// Reads the replies on a connection to a server, in the protocol that the server uses.
 #[derive(Debug)]
 pub enum ReplyReader {
     /// RESP2.
@@ -344,6 +345,7 @@
 }
 
 impl Resp3ReplyParser {
+    /// Takes input up to the end of a reply or push; the same as [`ReplyReader::feed`].
     fn feed(&mut self, input: &[u8]) -> Result<(usize, Option<ServerMessage>), ProtocolError> {
         let Resp3ReplyParser { decoder, reply, push, in_push, push_bytes } = self;
         let mut finished_push = None;
@@ -377,7 +379,7 @@
     }
 }
 
-/// The server's answer to `HELLO 3`: the protocol that it speaks from then on, or the text of its error.
+/// The server's answer to `HELLO 3`: the protocol that it uses from then on, or the text of its error.
 pub type HelloOutcome = Result<Protocol, Vec<u8>>;
 
 /// Parses the reply to `HELLO 3`.
--- a/crates/resp/tests/frames.rs
+++ b/crates/resp/tests/frames.rs
@@ -267,7 +267,7 @@
 
 // ---- replies in RESP3 ----
 
-/// Reads the messages of a node that speaks RESP3.
+/// Reads the messages of a node that uses RESP3.
 fn messages(pieces: &[&[u8]]) -> Result<Vec<ServerMessage>, ProtocolError> {
     let (mut reader, mut all) = (ReplyReader::new(Protocol::Three), Vec::new());
     for mut piece in pieces.iter().copied() {
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -2,7 +2,7 @@
 //! the connection rather than the cache. This crate does no I/O.
 //!
 //! The commands and their answers follow the Redis documentation (`HELLO`, `AUTH`, `RESET`, `CLIENT ...`,
-//! `COMMAND`, `PING`, `ECHO`, `SELECT`, `QUIT`), as far as client libraries send them without being asked to.
+//! `COMMAND`, `PING`, `ECHO`, `SELECT`, `QUIT`), as far as client libraries send them on their own.
 //! What the proxy does not support is answered with an error: a client that wrongly relied on invalidation
 //! messages, for example, would serve stale values.
 
@@ -46,17 +46,19 @@
 }
 
 impl Answer {
+    /// An accepted command's answer, already encoded.
     fn new(bytes: &'static [u8]) -> Self {
         Answer { bytes: bytes.into(), close: false, accepted: true, wrong_password: false }
     }
 
+    /// An accepted command's answer, encoded in the client's protocol.
     fn frame(frame: &Frame, protocol: Protocol) -> Self {
         let mut bytes = Vec::new();
         frame.write(protocol, &mut bytes);
         Answer { bytes: bytes.into(), close: false, accepted: true, wrong_password: false }
     }
 
-    /// A simple error.
+    /// The simple error that refuses a command.
     fn error(text: impl AsRef<str>) -> Self {
         let bytes = format!("-{}\r\n", text.as_ref()).into_bytes();
         Answer { bytes: bytes.into(), close: false, accepted: false, wrong_password: false }
@@ -100,7 +102,7 @@
         }
     }
 
-    /// The protocol that the client currently speaks.
+    /// The protocol that the client currently uses.
     pub fn protocol(&self) -> Protocol {
         self.protocol
     }
@@ -110,8 +112,8 @@
     /// # Errors
     /// The error line to send if it may not.
     pub fn check_tenant(&self, tenant: Option<u32>, users: &Users) -> Result<(), String> {
-        let user = self.user.and_then(|u| users.get(u));
-        match user.and_then(|u| Some((u, u.tenants.as_ref()?))) {
+        let user = self.user.and_then(|index| users.get(index));
+        match user.and_then(|user| Some((user, user.tenants.as_ref()?))) {
             Some((user, tenants)) if !tenant.is_some_and(|t| tenants.contains(&t)) => {
                 Err(format!("-NOPERM User {} has no permissions for this tenant\r\n", user.name))
             }
@@ -150,7 +152,7 @@
         if !users.authentication_required() {
             return None;
         }
-        let Some(user) = self.user.and_then(|u| users.get(u)) else {
+        let Some(user) = self.user.and_then(|index| users.get(index)) else {
             return Some(Answer::error(NOT_AUTHENTICATED));
         };
         let is_cache_command = name.get(..6).is_some_and(|n| n.eq_ignore_ascii_case(b"CACHE."));
@@ -190,6 +192,7 @@
         }
     }
 
+    /// Answers the subcommands of `CLIENT` that client libraries send when they connect.
     fn answer_client(&mut self, command: &Command) -> Answer {
         let subcommand = command.arg(1).to_ascii_uppercase();
         let arg = command.arg(2);
@@ -242,6 +245,7 @@
         }
     }
 
+    /// `AUTH [user] password`.
     fn auth(&mut self, command: &Command, users: &Users) -> Answer {
         let (name, password) = match command.arity() {
             2 if !users.authentication_required() || users.passwordless_default().is_some() => {
@@ -319,7 +323,8 @@
     }
 }
 
-/// True for a name that Redis accepts: printable, without spaces.
+/// True for a name that Redis accepts, printable and without spaces, up to [`MAX_NAME_BYTES`]. The empty name is valid,
+/// and clears the name of the connection.
 fn is_valid_name(name: &[u8]) -> bool {
     name.len() <= MAX_NAME_BYTES && name.iter().all(u8::is_ascii_graphic)
 }
--- a/crates/session/src/users.rs
+++ b/crates/session/src/users.rs
@@ -12,8 +12,8 @@
 pub const DEFAULT_USER: &str = "default";
 
 /// The stored form of a password: SHA-256 over a salt and the password. There is only one round, because
-/// checking it must not delay the event loop more than reading the command did. A password therefore has to
-/// be long and random.
+/// checking it must not delay the event loop longer than reading the command does. A password therefore has
+/// to be long and random.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PasswordHash {
     salt: [u8; SALT_BYTES],
@@ -93,7 +93,7 @@
         Users { all }
     }
 
-    /// True if clients have to authenticate, which is so as soon as there is a user.
+    /// True if clients have to authenticate, that is, if at least one user is configured.
     pub fn authentication_required(&self) -> bool {
         !self.all.is_empty()
     }
