--- a/crates/calicosaddle/src/balancer/admission.rs
+++ b/crates/calicosaddle/src/balancer/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: the fraction of requests that is sent at all, by class of traffic.
 
 use super::request::OpenRequest;
-use super::{Balancer, MS, SECOND};
+use super::{Balancer, MIN_DIVISOR, MS, SECOND};
 use crate::api::*;
 
 /// Time constant of the sums of recent results, in seconds.
@@ -109,7 +109,7 @@
         // The value of a class per unit of its work, or per nanosecond of its mean answer time.
         let density = |index: usize, class_settings: &Class| {
             let work = if self.settings.value_per_work { 1.0 } else { self.stats_of(index).mean.max(1.0) };
-            class_settings.value.max(1e-9) / work
+            class_settings.value.max(MIN_DIVISOR) / work
         };
         let all = self
             .settings
--- a/crates/calicosaddle/src/balancer/affinity.rs
+++ b/crates/calicosaddle/src/balancer/affinity.rs
@@ -83,14 +83,16 @@
             let old = bucket.windows;
             bucket.windows = [Window::default(); SIGMA];
             for (window, id) in bucket.windows.iter_mut().zip(&ids) {
-                let kept = old.iter().find(|o| o.server == *id).copied();
+                let kept = old.iter().find(|previous| previous.server == *id).copied();
                 *window = kept.unwrap_or(Window { server: *id, ..Window::default() });
             }
             // Unpin if the winner is no longer a candidate, or a new candidate ranks before it: other proxies try
             // the new candidate too, and a pin kept by this proxy alone would keep a second copy of the keys.
             let rank = bucket.pin.and_then(|pin| ids.iter().position(|id| *id == pin));
-            let new_before =
-                ids.iter().take(rank.unwrap_or(0)).any(|id| !old.iter().any(|o| o.server == *id));
+            let new_before = ids
+                .iter()
+                .take(rank.unwrap_or(0))
+                .any(|id| !old.iter().any(|previous| previous.server == *id));
             if rank.is_none() || new_before {
                 bucket.pin = None;
             }
--- a/crates/calicosaddle/src/balancer/attempts.rs
+++ b/crates/calicosaddle/src/balancer/attempts.rs
@@ -11,8 +11,10 @@
 const OVERLOAD_REJECTED_RATIO: f64 = 0.2;
 /// Most retries and hedges that requests can save up.
 pub(super) const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Marks timer tokens of hedges; the bits below hold the request id.
-pub(super) const HEDGE_TIMER: u64 = 1 << 56;
+/// The bits of a timer token from here up hold the kind of the timer, those below the request id.
+pub(super) const TIMER_KIND_SHIFT: u32 = 56;
+/// Kind of the timers of hedges.
+pub(super) const HEDGE_TIMER: u64 = 1 << TIMER_KIND_SHIFT;
 /// Answers of a class from which its statistics are used.
 pub(super) const MIN_ANSWERS: f64 = 5.0;
 /// Mean deviations above the mean answer time at which an answer is overdue.
@@ -90,7 +92,7 @@
         let allowed = open.attempts.len() < self.settings.max_attempts as usize && now < open.deadline;
         let allowed = allowed && self.rejection_probability(now, class, false) < self.random_unit();
         match self.open_requests.get(&id).and_then(|open| self.choose_origin(now, open)) {
-            Some(i) if allowed => self.send_attempt(now, id, i, actions),
+            Some(server) if allowed => self.send_attempt(now, id, server, actions),
             _ => {
                 // A fetch that was not sent must not count as a failure of the origin.
                 self.open_requests.entry(id).and_modify(|open| open.counts_for_admission = false);
@@ -109,9 +111,9 @@
             && left > (MIN_TIME_FRACTION * self.stats_of(open.class).mean).max(MS as f64);
         let server = if allowed { self.choose_server(now, &open, 1) } else { None };
         self.open_requests.insert(id, open);
-        if let Some(i) = server {
+        if let Some(index) = server {
             self.retry_budget -= cost;
-            self.send_attempt(now, id, i, actions);
+            self.send_attempt(now, id, index, actions);
         }
         server.is_some()
     }
--- a/crates/calicosaddle/src/balancer/candidates.rs
+++ b/crates/calicosaddle/src/balancer/candidates.rs
@@ -4,7 +4,7 @@
 use super::hash::mix;
 use super::request::OpenRequest;
 use super::server::Server;
-use super::{Balancer, MS};
+use super::{Balancer, MIN_DIVISOR, MS};
 use crate::api::*;
 
 /// A server is too slow for a request if its mean hit latency exceeds this fraction of the time left to the target.
@@ -74,7 +74,7 @@
     /// Picks, of the first servers in `order`, the first that has room and is quick enough, else the first that has
     /// room, else the first that slow start allows.
     fn pick_by_load(&mut self, now: Nanos, open: &OpenRequest, spread: usize, order: &[u32]) -> Option<u32> {
-        let mean_inflight = self.total_inflight / self.total_weight.max(1e-9);
+        let mean_inflight = self.total_inflight / self.total_weight.max(MIN_DIVISOR);
         let allowed: Vec<u32> =
             order.iter().copied().filter(|&index| self.slow_start_allows(now, index, false)).collect();
         let has_room = |server: &Server| {
--- a/crates/calicosaddle/src/balancer/membership.rs
+++ b/crates/calicosaddle/src/balancer/membership.rs
@@ -24,7 +24,7 @@
 const MIN_SUBSET_SIZE: usize = 4;
 /// Salt of the hash that draws a proxy's subset.
 const SUBSET_SALT: u64 = 0x0a0e_0a0e;
-/// Bounds of the weight of a server; values outside come from faulty lists.
+/// Bounds of the weight of a server, which keep the weight and its inverse finite and above 0.
 const MIN_WEIGHT: f64 = 1e-6;
 const MAX_WEIGHT: f64 = 1e9;
 
--- a/crates/calicosaddle/src/balancer/mod.rs
+++ b/crates/calicosaddle/src/balancer/mod.rs
@@ -34,7 +34,7 @@
 use crate::api::*;
 use admission::AdmissionControl;
 use affinity::Bucket;
-use attempts::HEDGE_TIMER;
+use attempts::{HEDGE_TIMER, TIMER_KIND_SHIFT};
 use hash::{mix, unit};
 use health::ZoneHealth;
 use latency::ClassStats;
@@ -44,6 +44,8 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000_000_000;
+/// Least sum of weights, and least value of a class, that is divided by.
+const MIN_DIVISOR: f64 = 1e-9;
 /// Increment of the state of SplitMix64, the generator of random numbers.
 const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
@@ -123,7 +125,7 @@
             Event::Arrival(request) => self.handle_arrival(now, request, actions),
             Event::Outcome(outcome) => self.handle_outcome(now, &outcome, actions),
             Event::Probed { server, status: Status::Ok, .. } => self.clear_failures(server),
-            Event::Timer(token) if token >> 56 == HEDGE_TIMER >> 56 => {
+            Event::Timer(token) if token >> TIMER_KIND_SHIFT == HEDGE_TIMER >> TIMER_KIND_SHIFT => {
                 self.handle_hedge_timer(now, token & (HEDGE_TIMER - 1), actions)
             }
             Event::Probed { .. } | Event::Timer(_) => {}
--- a/crates/calicosaddle/src/balancer/outcome.rs
+++ b/crates/calicosaddle/src/balancer/outcome.rs
@@ -112,8 +112,9 @@
         // Scaled by its work: otherwise a server busy with a heavy request would be taken for a silent one.
         let elapsed =
             (elapsed as f64 / self.open_requests.get(&id).map_or(1.0, |open| open.work_scale)) as Nanos;
-        let usual = class.map(|c| self.stats_of(c)).unwrap_or_default();
-        let latency_target = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.latency_target);
+        let usual = class.map(|class| self.stats_of(class)).unwrap_or_default();
+        let latency_target =
+            class.and_then(|class| self.settings.classes.get(class)).map_or(0, |class| class.latency_target);
         OutcomeDetails { server, status, hit, elapsed, class, latency_target, usual, from_cache }
     }
 
@@ -164,7 +165,7 @@
 
     /// Updates the statistics of the class with the time of an answer.
     fn record_class_time(&mut self, details: &OutcomeDetails) {
-        let stats = details.class.and_then(|c| self.class_stats.get_mut(c));
+        let stats = details.class.and_then(|class| self.class_stats.get_mut(class));
         if let (Status::Ok, true, Some(stats)) = (details.status, details.from_cache, stats) {
             stats.answers += 1.0;
             let gain = (1.0 / stats.answers).max(MIN_CLASS_GAIN);
--- a/crates/calicosaddle/src/balancer/slow_start.rs
+++ b/crates/calicosaddle/src/balancer/slow_start.rs
@@ -3,7 +3,7 @@
 use super::admission::ADMISSION_MEMORY_S;
 use super::hash::{mix, unit};
 use super::server::Server;
-use super::{Balancer, SECOND};
+use super::{Balancer, MIN_DIVISOR, SECOND};
 use crate::api::Nanos;
 
 /// Fraction of a recovering server's overload threshold that all proxies together send it.
@@ -46,7 +46,7 @@
         if !server.in_subset {
             return false;
         }
-        let share = 1.0 / server.inverse_weight / self.subset_weight.max(1e-9);
+        let share = 1.0 / server.inverse_weight / self.subset_weight.max(MIN_DIVISOR);
         let own_rate = self.request_rate(now).min(self.recent_successes / ADMISSION_MEMORY_S + 1.0);
         let rate = SAFE_LOAD_FRACTION * self.settings.overload_multiple * warm * share * own_rate;
         let window = self.settings.overload_duration as f64 / SECOND as f64;
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -235,6 +235,7 @@
 
     /// The longest planned time without a call: the maximum poll interval less a margin.
     fn longest_call_gap(&self) -> Nanos {
+        // The margin is a fifth.
         self.config.max_poll_interval.max(2 * SECOND) * 4 / 5
     }
 
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -22,6 +22,9 @@
 /// The most bytes of a client's text that an error repeats.
 const MAX_QUOTED_BYTES: usize = 64;
 
+/// The start of the names of all commands that read or write the cache.
+const CACHE_PREFIX: &[u8] = b"CACHE.";
+
 const WRONG_PASSWORD: &str = "WRONGPASS invalid username-password pair or user is disabled.";
 const NOT_AUTHENTICATED: &str = "NOAUTH Authentication required.";
 const HELLO_NOT_AUTHENTICATED: &str =
@@ -155,7 +158,8 @@
         let Some(user) = self.user.and_then(|index| users.get(index)) else {
             return Some(Answer::error(NOT_AUTHENTICATED));
         };
-        let is_cache_command = name.get(..6).is_some_and(|n| n.eq_ignore_ascii_case(b"CACHE."));
+        let is_cache_command =
+            name.get(..CACHE_PREFIX.len()).is_some_and(|prefix| prefix.eq_ignore_ascii_case(CACHE_PREFIX));
         let allowed = user.commands.as_ref().filter(|_| is_cache_command)?;
         if allowed.iter().any(|c| name.eq_ignore_ascii_case(c.as_bytes())) {
             return None;
