--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The reason reason a request did not succeed.
+/// The reason why a request did not succeed.
 #[derive(Debug)]
 pub enum RequestError {
     /// The agent can't be reached; nothing was done.
--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -26,7 +26,7 @@
         /// Duration in seconds, 1 to 604,800.
         #[arg(long = "for", value_name = "SECONDS", default_value_t = 3_600, value_parser = clap::value_parser!(u64).range(1..=604_800))]
         seconds: u64,
-        /// The number of this command, to prolong one; by default a new one.
+        /// Generation of this command, to extend an earlier one; by default a new one.
         #[arg(long)]
         generation: Option<u64>,
     },
@@ -34,7 +34,7 @@
     Stop {
         /// Names of instances; all by default.
         names: Vec<String>,
-        /// The number of this order; by default a new one.
+        /// Generation of this command; by default a new one.
         #[arg(long)]
         generation: Option<u64>,
     },
--- a/crates/ctl/tests/fleet.rs
+++ b/crates/ctl/tests/fleet.rs
@@ -123,8 +123,8 @@
     let run = tool(agents, &["--base", "1", "undrain", "n0"]);
     assert_eq!(run.code, 1, "{}", run.error);
     for part in [
-        "the command is based on generation 1, but the fleet is at generation ",
-        "read its state again and retry",
+        "the command is based on generation 1, but the fleet is at ",
+        "check its state and submit the command again",
     ] {
         assert!(run.error.contains(part), "{part}: {}", run.error);
     }
