--- a/crates/proxy/src/front/admin.rs
+++ b/crates/proxy/src/front/admin.rs
@@ -1,9 +1,9 @@
 //! The admin endpoint: a second address, at which a caller sends one command line per connection and gets one answer.
 //!
-//! Callers may be silent, send half a line or an endless one, leave their connections open, or be many. There are
-//! [`MAX_CALLERS`] connections at most, each has a time limit, a new caller replaces the oldest one, and input after the
-//! line is read and dropped. More simultaneous callers would evict each other, but an answer takes one iteration of the
-//! event loop, so only a flood does so.
+//! Callers may be silent, send half a line or an endless one, leave their connections open, or be many. So there are at
+//! most [`MAX_CALLERS`] connections, each with a time limit; a further caller replaces one that has had its answer, or
+//! else the oldest; and input after the line is read and dropped. Too many simultaneous callers would evict each other,
+//! but since an answer takes one iteration of the event loop, only a flood of them does.
 
 use calicosaddle::api::Nanos;
 use mio::net::{TcpListener, TcpStream};
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -37,10 +37,11 @@
 const STALL_TIMEOUT: Nanos = 5_000 * MS;
 /// How long a client may be silent between requests.
 const IDLE_TIMEOUT: Nanos = 10_000 * MS;
-/// The idle timeouts while idle clients that have sent requests take more than a quarter of the places: for clients with
-/// one request so far, and for clients with more. Otherwise clients that send one request and keep their connection, or
-/// pools larger than needed, would take all places, and no client with a request could connect where upstream proxies
-/// may open only a limited number of connections. Clients with a request every few seconds then reconnect each time.
+/// The idle timeouts while idle clients that have sent requests hold more than a quarter of the allowed connections: for
+/// clients with one request so far, and for clients with more. Otherwise clients that send one request and stay
+/// connected, or connection pools larger than needed, would take all connections; where upstream proxies may open only a
+/// limited number, no client with a request could then connect. The cost is that clients with a request every few
+/// seconds reconnect each time.
 const CROWDED_IDLE_TIMEOUTS: [Nanos; 2] = [250 * MS, 2_000 * MS];
 /// How long a client has to close its side after the last answer.
 const LINGER_TIMEOUT: Nanos = 250 * MS;
@@ -56,7 +57,8 @@
 pub enum ClientEvent {
     /// A request has arrived.
     Query(RequestId, ReplySlot, Rc<Query>),
-    /// A command of this class was refused before it became a request: its value did not fit in memory, or too many commands were open.
+    /// A command of this class was refused before it became a request: its value did not fit in memory, or too many
+    /// commands were open.
     Rejected(u32),
     /// The client closed its sending side while this request was open. It may still read the answer: attempts in flight
     /// may complete, but no new one may be sent.
@@ -67,7 +69,7 @@
     Disconnected(RequestId),
 }
 
-/// The place of a command's answer in the order of answers.
+/// The state of a command's answer. Slots are kept in the order of the commands.
 #[derive(Debug)]
 enum Slot {
     /// Not answered yet; the protocol is the one in force when the command arrived.
@@ -80,7 +82,7 @@
         protocol: Protocol,
         /// What has arrived of the value while it waits for the answers before it.
         queued: Vec<u8>,
-        /// True if the sender has been told to pause.
+        /// True if the sender has to pause.
         paused: bool,
     },
 }
@@ -251,7 +253,7 @@
         !self.pending_reads.is_empty() || (self.accepting && self.can_accept())
     }
 
-    /// True if there is a free place, or an idle client that can be evicted.
+    /// True if the connection limit is not reached, or an idle client can be evicted.
     fn can_accept(&self) -> bool {
         self.clients.len() < self.max_clients || self.clients.iter().any(|(_, c)| c.is_idle())
     }
@@ -261,8 +263,8 @@
         self.accepting = true;
     }
 
-    /// Accepts up to [`MAX_ACCEPTS`] connections. `max_clients` gives the maximum number of connections for the current
-    /// one.
+    /// Accepts up to [`MAX_ACCEPTS`] connections. `max_clients` returns the maximum number of connections, given the
+    /// current number.
     ///
     /// # Errors
     /// Descriptors or memory have run out.
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -174,7 +174,7 @@
         if self.closed_to_clients {
             if let Err(e) = self.clients.listen(self.event_loop.registry(), Source::ClientListener.token()) {
                 // The old state is restored: otherwise a restarted process would accept clients although the controller
-                // was told that the proxy is still drained.
+                // is informed that the proxy is still drained.
                 self.persisted.store(old_state)?;
                 let message = format!("{} can't be listened at: {e}; still drained", self.config.listen);
                 return Err(Error::new(Code::Storage, message));
--- a/crates/proxy/src/platform/config.rs
+++ b/crates/proxy/src/platform/config.rs
@@ -30,10 +30,10 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ConfigError::MissingVariable(what) => write!(f, "{what} is not set"),
+            ConfigError::MissingVariable(name) => write!(f, "{name} is not set"),
             ConfigError::Unreadable(path, e) => write!(f, "{path} can't be read: {e}"),
             ConfigError::InvalidJson(e) => write!(f, "the configuration is not JSON: {e}"),
-            ConfigError::Invalid(what) => write!(f, "the configuration is wrong: {what}"),
+            ConfigError::Invalid(reason) => write!(f, "the configuration is wrong: {reason}"),
         }
     }
 }
--- a/crates/proxy/src/platform/discovery.rs
+++ b/crates/proxy/src/platform/discovery.rs
@@ -91,7 +91,7 @@
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ListError::Http(what) => write!(f, "bad answer: {what}"),
+            ListError::Http(reason) => write!(f, "bad answer: {reason}"),
             ListError::Status(code) => write!(f, "answered {code}"),
             ListError::Json => write!(f, "not JSON"),
             ListError::Field(name) => write!(f, "{name} is missing or wrong"),
