--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -147,8 +147,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Rejection::Conflict { base, generation } => {
-                write!(f, "the command is based on generation {base}, but the fleet is at {generation}; ")?;
-                f.write_str("check its state and submit the command again")
+                write!(f, "the command is based on generation {base}, ")?;
+                write!(f, "but the fleet is at generation {generation}: read its state again and retry")
             }
             Rejection::Invalid(reason) => f.write_str(reason),
             Rejection::Unsafe(reason) => write!(f, "{reason}; --force does it all the same"),
