--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -132,7 +132,7 @@
         order(shadow_traffic, self.event_loop.now)?;
         self.update_candidates();
         self.persist_shadow_state();
-        let copies = self.shadow_traffic.as_ref().map(|c| c.copying(&self.config.classes));
+        let copies = self.shadow_traffic.as_ref().map(|c| c.status(&self.config.classes));
         copies.map(|c| Answer::Shadow(Box::new(c))).ok_or_else(|| Error::new(Code::Stopping, "it ends"))
     }
 
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -449,7 +449,7 @@
     }
 
     /// The status of copying, and the results of comparing the answers.
-    pub fn copying(&self, classes: &[String]) -> ShadowStatus {
+    pub fn status(&self, classes: &[String]) -> ShadowStatus {
         let name = |class: &u32| classes.get(*class as usize).cloned().unwrap_or_default();
         ShadowStatus {
             status: self.shadow.status(),
