--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -146,8 +146,8 @@
     pub report: shadow::Report,
     /// Keys of answers that differed, the latest first, where the operator wants them.
     pub samples: Vec<shadow::Sample>,
-    /// Times by the names of classes, in base64 what `shadow::verdict::Times` writes: those of several instances can be
-    /// added.
+    /// Times by the names of classes, in base64 what `shadow::verdict::LatencyHistograms` writes: those of several
+    /// instances can be added.
     pub times: BTreeMap<String, String>,
 }
 
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -21,12 +21,12 @@
     pub drained: bool,
     /// The last order for copying, and whether that has stopped.
     #[serde(default, skip_serializing_if = "is_unused")]
-    pub shadow: shadow::Kept,
+    pub shadow: shadow::PersistedState,
 }
 
 /// Guards against files that an older build can't read: what was never used is not written.
-fn is_unused(kept: &shadow::Kept) -> bool {
-    *kept == shadow::Kept::default()
+fn is_unused(kept: &shadow::PersistedState) -> bool {
+    *kept == shadow::PersistedState::default()
 }
 
 /// Is a change under this number to be made?
--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -7,9 +7,9 @@
 use control::message::ShadowStatus;
 use hyper::Method;
 use serde_json::{json, Value};
-use shadow::promote::{steps, ColdRule, Step};
-use shadow::verdict::{Quantile, Times, Tolerance};
-use shadow::{Report, State, Tally, Word};
+use shadow::promote::{promotion_steps, SlowStart, Step};
+use shadow::verdict::{LatencyHistograms, Quantile, Tolerance};
+use shadow::{Report, State, Tally, Verdict};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -46,10 +46,10 @@
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
         /// The share of answers that may differ.
-        #[arg(long, default_value_t = Tolerance::default().different)]
+        #[arg(long, default_value_t = Tolerance::default().difference_rate)]
         tolerated_different: f64,
         /// The part by which quantiles may be longer.
-        #[arg(long, default_value_t = Tolerance::default().slower)]
+        #[arg(long, default_value_t = Tolerance::default().slowdown)]
         tolerated_slower: f64,
     },
     /// Tell the steps in which the candidates may come into service. Only discovery can put them there.
@@ -141,11 +141,11 @@
                 said.name,
                 state(c),
                 s.generation,
-                f64::from(s.parts) / 1e4,
+                f64::from(s.sampling_ppm) / 1e4,
                 s.candidates,
                 s.counts.copies,
-                s.open,
-                word(c.report.word),
+                s.open_copies,
+                word(c.report.verdict),
             )
         }
         Err(why) => format!("{}: {why}", said.name),
@@ -162,22 +162,22 @@
     }
 }
 
-fn word(word: Word) -> &'static str {
+fn word(word: Verdict) -> &'static str {
     match word {
-        Word::Worse => "worse",
-        Word::Better => "better",
-        Word::Alike => "alike",
-        Word::NotEnoughSeen => "not enough seen",
+        Verdict::Worse => "worse",
+        Verdict::Better => "better",
+        Verdict::Equivalent => "alike",
+        Verdict::Inconclusive => "not enough seen",
     }
 }
 
 /// All instances together, and the names of the classes in the order of their numbers there.
 fn together(said: &[Said], tolerance: Tolerance) -> (Report, Vec<String>) {
-    let (mut tally, mut times) = (Tally::default(), BTreeMap::<String, Times>::new());
+    let (mut tally, mut times) = (Tally::default(), BTreeMap::<String, LatencyHistograms>::new());
     for copying in said.iter().filter_map(|s| s.copying.as_ref().ok()) {
-        tally.add(&copying.report.tally);
+        tally.merge(&copying.report.tally);
         for (class, text) in &copying.times {
-            match BASE64_STANDARD.decode(text).ok().and_then(|bytes| Times::from_bytes(&bytes)) {
+            match BASE64_STANDARD.decode(text).ok().and_then(|bytes| LatencyHistograms::from_bytes(&bytes)) {
                 Some(t) => times.entry(class.clone()).or_default().merge(&t),
                 None => eprintln!("trestlectl: times of {class} can't be read and are left out"),
             }
@@ -190,11 +190,11 @@
 fn quantile(q: &Quantile, classes: &[String]) -> [String; 6] {
     [
         classes.get(q.class as usize).cloned().unwrap_or_default(),
-        format!("p{}", q.part * 100.0),
-        format!("{:.2}", q.ms[0]),
-        format!("{:.2}", q.ms[1]),
-        format!("{:+.2} to {:+.2}", q.more_ms.low, q.more_ms.high),
-        format!("{} of {}", word(q.word), q.of),
+        format!("p{}", q.quantile * 100.0),
+        format!("{:.2}", q.latency_ms[0]),
+        format!("{:.2}", q.latency_ms[1]),
+        format!("{:+.2} to {:+.2}", q.difference_ms.low, q.difference_ms.high),
+        format!("{} of {}", word(q.verdict), q.count),
     ]
 }
 
@@ -206,13 +206,13 @@
 
 /// Between which shares answers differ, of how many, and what that says.
 fn answers(report: &Report) -> String {
-    let Report { different, tally, .. } = report;
+    let Report { difference_rate: different, tally, .. } = report;
     let (low, high) = (different.low * 100.0, different.high * 100.0);
     format!("{low:.4}% to {high:.4}% of {}, {}", tally.compared(), word(report.answers))
 }
 
 fn text(report: &Report, classes: &[String], instances: usize) -> String {
-    let mut out = format!("{}, by copies at {instances} instances\n", word(report.word));
+    let mut out = format!("{}, by copies at {instances} instances\n", word(report.verdict));
     let found: Vec<String> = counts(&report.tally).iter().map(|(what, n)| format!("{what} {n}")).collect();
     // Writing to a string cannot fail.
     let _ = writeln!(out, "answers: {}", found.join(", "));
@@ -244,7 +244,7 @@
         <style>body{font:16px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:left}\
         table{border-collapse:collapse}tr{border-bottom:1px solid #ccc}</style>\n"
         .to_owned();
-    let _ = writeln!(out, "<h1>The candidates: {}</h1>", word(report.word));
+    let _ = writeln!(out, "<h1>The candidates: {}</h1>", word(report.verdict));
     let _ = writeln!(out, "<p>Different answers (95%): {}.</p>", answers(report));
     out += &table(
         &["answers", "copies"],
@@ -276,11 +276,11 @@
     if live == 0 {
         return Err("the configuration knows no live boxes; take one that a proxy was started with".into());
     }
-    let rule = ColdRule {
-        from: config.settings.slow_start_initial_fraction,
-        span: config.settings.slow_start_duration,
+    let rule = SlowStart {
+        initial_fraction: config.settings.slow_start_initial_fraction,
+        duration: config.settings.slow_start_duration,
     };
-    Ok((steps(rule, live, candidates as usize, count as usize), live))
+    Ok((promotion_steps(rule, live, candidates as usize, count as usize), live))
 }
 
 /// Carries out one of them.
@@ -308,7 +308,7 @@
         }
         Command::Report { html, tolerated_different, tolerated_slower } => {
             let (said, whole) = ask(agents, none, &json!({"op": "status"}), voice).await;
-            let tolerance = Tolerance { different: *tolerated_different, slower: *tolerated_slower };
+            let tolerance = Tolerance { difference_rate: *tolerated_different, slowdown: *tolerated_slower };
             let (report, classes) = together(&said, tolerance);
             let answered = said.iter().filter(|s| s.copying.is_ok()).count();
             said.iter().filter(|s| s.copying.is_err()).for_each(|s| eprintln!("trestlectl: {}", line(s)));
@@ -332,12 +332,13 @@
                     return Exit::Failed;
                 }
             };
-            let sure = matches!(report.word, Word::Alike | Word::Better);
-            let value = json!({"word": report.word, "live": live, "candidates": candidates, "steps": plan});
+            let sure = matches!(report.verdict, Verdict::Equivalent | Verdict::Better);
+            let value =
+                json!({"word": report.verdict, "live": live, "candidates": candidates, "steps": plan});
             voice.say(&value, || {
                 let mut out = format!(
                     "the candidates are {}; {candidates} beside {live} live boxes\n",
-                    word(report.word)
+                    word(report.verdict)
                 );
                 for s in &plan {
                     let _ = writeln!(
@@ -345,8 +346,8 @@
                         "after {:6.1} s: weight {:.3}, {:.3}% of the keys each, {:.3}% in all",
                         s.at_seconds,
                         s.weight,
-                        s.each * 100.0,
-                        s.all * 100.0
+                        s.share_each * 100.0,
+                        s.share_all * 100.0
                     );
                 }
                 out.trim_end().to_owned()
@@ -354,7 +355,7 @@
             if !sure && !force {
                 eprintln!(
                     "trestlectl: the copies don't show that they are good enough: {}",
-                    word(report.word)
+                    word(report.verdict)
                 );
                 return Exit::Failed;
             }
--- a/crates/model/src/copies.rs
+++ b/crates/model/src/copies.rs
@@ -5,10 +5,10 @@
 use crate::sim::{End, Ev, Sim};
 use crate::{millis, seconds, Nanos, MS};
 use rustc_hash::FxHashMap;
-use shadow::budget::most_in_a_second;
-use shadow::sample::{Tenants, WHOLE};
+use shadow::budget::max_in_any_second;
+use shadow::sample::{Tenants, PARTS_PER_MILLION};
 use shadow::verdict::Tolerance;
-use shadow::{Ended, Kept, Read, Settings, Shadow, Side, Vitals};
+use shadow::{CopyResult, LiveLoad, PersistedState, Read, ReadOutcome, Settings, Shadow};
 
 /// The ticket of a candidate's fetch has this in place of a box.
 pub(crate) const CANDIDATE: u32 = u32::MAX;
@@ -75,28 +75,31 @@
     /// A proxy has started, with this number of proxies in its settings.
     pub fn start(&mut self, proxy: usize, proxies: u32, now: Nanos) {
         let t = &self.told;
-        let parts = |share: f64| (share * f64::from(WHOLE)) as u32;
+        let parts = |share: f64| (share * f64::from(PARTS_PER_MILLION)) as u32;
         let settings = Settings {
             classes: vec![true, false],
             tenants: Tenants::All,
             salt: 0,
-            parts: [parts(t.first_share), parts(t.share)],
-            step: seconds(t.step_s),
-            copies: t.copies_per_second,
-            open: t.connections,
-            bytes: [1, t.connections],
-            cpu: 1.0,
-            misses: t.misses_per_second,
-            proxies: [proxies, proxy as u32],
-            deadline: millis(t.deadline_ms),
+            initial_sampling_ppm: parts(t.first_share),
+            max_sampling_ppm: parts(t.share),
+            ramp_step: seconds(t.step_s),
+            copies_per_second: t.copies_per_second,
+            max_open_copies: t.connections,
+            max_value_bytes: 1,
+            max_held_bytes: t.connections,
+            max_cpu_share: 1.0,
+            misses_per_second: t.misses_per_second,
+            proxy_count: proxies,
+            proxy_index: proxy as u32,
+            copy_timeout: millis(t.deadline_ms),
             tolerance: Tolerance::default(),
-            stop_different: 1.0,
-            samples: 0,
+            stop_difference_rate: 1.0,
+            max_samples: 0,
         };
-        let mut one = Shadow::new(settings, Kept::default(), now);
+        let mut one = Shadow::new(settings, PersistedState::default(), now);
         // A first order is never refused.
         let _ = one.start(1, seconds(86_400.0), now);
-        one.candidates((0..self.candidates.len() as u64).collect(), now);
+        one.set_candidates((0..self.candidates.len() as u64).collect(), now);
         self.proxies[proxy] = Some(one);
     }
 
@@ -109,7 +112,7 @@
 
     /// Copies sent, fetches for them, and the most of these in any second.
     pub fn counts(&self) -> (u64, u64, u64) {
-        let most = most_in_a_second(self.fetched.clone());
+        let most = max_in_any_second(self.fetched.clone());
         (self.out.len() as u64, self.fetched.len() as u64, most as u64)
     }
 }
@@ -117,13 +120,23 @@
 impl Sim<'_> {
     /// A box has answered a read, and its client has the answer.
     pub(crate) fn copy(&mut self, proxy: usize, key: u64, hit: bool, took: Option<Nanos>) {
-        let live = Side::Value(u64::from(self.origin.version(key)));
-        let read = Read { class: 0, tenant: None, key, live, length: 1, hit: Some(hit), took };
+        let live = ReadOutcome::Value(u64::from(self.origin.version(key)));
+        let read = Read {
+            class: 0,
+            tenant: None,
+            key,
+            outcome: live,
+            value_bytes: 1,
+            hit: Some(hit),
+            latency: took,
+        };
         let (now, life) = (self.now, self.hosts[proxy].life);
         let Some(copies) = &mut self.copies else { return };
-        let Some(copy) = copies.proxies[proxy].as_mut().and_then(|s| s.read(&read, now)) else { return };
+        let Some(copy) = copies.proxies[proxy].as_mut().and_then(|s| s.offer_read(&read, now)) else {
+            return;
+        };
         let at = copies.out.len() as u32;
-        let (number, candidate, until) = (copy.number, copy.candidate as usize, copy.until);
+        let (number, candidate, until) = (copy.number, copy.candidate as usize, copy.deadline);
         copies.out.push(Out { proxy, life, number, candidate, key, sent: now, until, over: false });
         let takes = millis(self.scenario.topology.zone_delay_ms + self.scenario.kinds[0].read_ms);
         self.at(now + takes, Ev::Copy(Step::Worked(at)));
@@ -135,11 +148,13 @@
             Step::Worked(at) => self.copy_worked(at),
             Step::Back(at, hit) => {
                 let Some(one) = self.copies.as_ref().and_then(|c| c.out.get(at as usize)) else { return };
-                let side = Side::Value(u64::from(self.origin.version(one.key)));
+                let side = ReadOutcome::Value(u64::from(self.origin.version(one.key)));
                 let took = self.now - one.sent;
-                self.copy_ended(at, Ended { side, hit: Some(hit), took });
+                self.copy_ended(at, CopyResult { outcome: side, hit: Some(hit), latency: took });
+            }
+            Step::Up(at) => {
+                self.copy_ended(at, CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: 0 })
             }
-            Step::Up(at) => self.copy_ended(at, Ended { side: Side::Late, hit: None, took: 0 }),
             Step::Look => {
                 let now = self.now;
                 let room = self.scenario.topology.max_open;
@@ -147,9 +162,9 @@
                 for (proxy, one) in copies.proxies.iter_mut().enumerate() {
                     let [served, refused] = std::mem::take(&mut copies.answers[proxy]);
                     let open = self.hosts[proxy].open.len();
-                    let vitals = Vitals { served, refused, loop_delay: 0, open, room };
+                    let vitals = LiveLoad { served, refused, loop_delay: 0, open, max_open: room };
                     if let Some(one) = one.as_mut().filter(|_| self.hosts[proxy].alive) {
-                        one.look(&vitals, now);
+                        one.update_load(&vitals, now);
                     }
                 }
                 self.at(now + LOOK, Ev::Copy(Step::Look));
@@ -202,7 +217,7 @@
         self.at(self.now + way, Ev::Copy(Step::Back(at, hit)));
     }
 
-    fn copy_ended(&mut self, at: u32, ended: Ended) {
+    fn copy_ended(&mut self, at: u32, ended: CopyResult) {
         let now = self.now;
         let Some(copies) = &mut self.copies else { return };
         let one = &mut copies.out[at as usize];
@@ -211,7 +226,7 @@
             return;
         }
         if let Some(shadow) = &mut copies.proxies[one.proxy] {
-            shadow.ended(one.number, ended, now);
+            shadow.copy_ended(one.number, ended, now);
         }
     }
 }
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -19,9 +19,11 @@
 use mio::net::TcpStream;
 use mio::{Events, Interest, Registry};
 use resp::{Reply, ReplyKind, ReplyParser};
-use shadow::sample::{Digest, Tenants, WHOLE};
+use shadow::sample::{Digest, Tenants, PARTS_PER_MILLION};
 use shadow::verdict::Tolerance;
-use shadow::{Copy, Ended, Kept, Read, Refused, Settings, Shadow, Side, Vitals};
+use shadow::{
+    CommandError, CopyRequest, CopyResult, LiveLoad, PersistedState, Read, ReadOutcome, Settings, Shadow,
+};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read as _, Write as _};
@@ -54,23 +56,29 @@
         }
     }
     let proxies = proxy_count_and_index(config);
-    let parts = |share: f64| ((share * f64::from(WHOLE)) as u32).max(1);
+    let parts = |share: f64| ((share * f64::from(PARTS_PER_MILLION)) as u32).max(1);
     let settings = Settings {
         classes,
         tenants,
         salt: operator.salt,
-        parts: [parts(operator.first_share), parts(operator.share)],
-        step: operator.step_seconds * 1_000 * MS,
-        copies: operator.copies_per_second,
-        open: operator.connections,
-        bytes: [operator.answer_bytes, operator.held_bytes],
-        cpu: operator.cpu_share,
-        misses: operator.misses_per_second,
-        proxies,
-        deadline: operator.deadline_ms * MS,
-        tolerance: Tolerance { different: operator.tolerated_different, slower: operator.tolerated_slower },
-        stop_different: operator.stop_different,
-        samples: operator.samples,
+        initial_sampling_ppm: parts(operator.first_share),
+        max_sampling_ppm: parts(operator.share),
+        ramp_step: operator.step_seconds * 1_000 * MS,
+        copies_per_second: operator.copies_per_second,
+        max_open_copies: operator.connections,
+        max_value_bytes: operator.answer_bytes,
+        max_held_bytes: operator.held_bytes,
+        max_cpu_share: operator.cpu_share,
+        misses_per_second: operator.misses_per_second,
+        proxy_count: proxies[0],
+        proxy_index: proxies[1],
+        copy_timeout: operator.deadline_ms * MS,
+        tolerance: Tolerance {
+            difference_rate: operator.tolerated_different,
+            slowdown: operator.tolerated_slower,
+        },
+        stop_difference_rate: operator.stop_different,
+        max_samples: operator.samples,
     };
     if operator.misses_per_second < 2 * proxies[0] {
         faults.push(format!(
@@ -160,7 +168,7 @@
     max_connections: usize,
     max_value_bytes: usize,
     /// Copies chosen in this iteration of the event loop, to be sent at its end.
-    pending: Vec<(Copy, Rc<Query>)>,
+    pending: Vec<(CopyRequest, Rc<Query>)>,
     /// The prefix of the request ids of copies, unique to this process among all proxies and their restarts.
     id_prefix: String,
     /// The counts of served and refused requests at the last sweep.
@@ -173,13 +181,13 @@
         operator: &operator::Shadow,
         settings: Settings,
         config: &Config,
-        kept: Kept,
+        kept: PersistedState,
         now: Nanos,
     ) -> Self {
         let addresses: BTreeMap<u64, SocketAddr> =
             operator.candidates.iter().map(|a| (server_id(&a.to_string()), *a)).collect();
         let mut shadow = Shadow::new(settings, kept, now);
-        shadow.candidates(addresses.keys().copied().collect(), now);
+        shadow.set_candidates(addresses.keys().copied().collect(), now);
         ShadowTraffic {
             shadow,
             addresses,
@@ -195,13 +203,13 @@
 
     /// Records that a client writes this key, both when the write arrives and when it is answered.
     pub fn note_write(&mut self, key: u64) {
-        self.shadow.wrote(key);
+        self.shadow.note_write(key);
     }
 
     /// Applies a changed number of proxies, or a changed index of this one.
     pub fn set_proxies(&mut self, config: &Config) {
         let [count, index] = proxy_count_and_index(config);
-        self.shadow.proxies(count, index);
+        self.shadow.set_proxies(count, index);
     }
 
     /// Handles a read that a live box has served and whose client has its answer.
@@ -214,9 +222,9 @@
         now: Nanos,
     ) {
         let value = bytes.get(reply.value.clone()).unwrap_or_default();
-        let wanted =
-            self.shadow.wants(query.class, query.tenant, query.key) && value.len() <= self.max_value_bytes;
-        let live = if wanted { Side::Value(Digest::of(value)) } else { Side::Error };
+        let wanted = self.shadow.is_wanted(query.class, query.tenant, query.key)
+            && value.len() <= self.max_value_bytes;
+        let live = if wanted { ReadOutcome::Value(Digest::of(value)) } else { ReadOutcome::Error };
         self.choose_copy(query, live, value.len(), reply.hit(), took, now);
     }
 
@@ -224,14 +232,17 @@
     fn choose_copy(
         &mut self,
         query: &Rc<Query>,
-        live: Side,
+        live: ReadOutcome,
         length: usize,
         hit: Option<bool>,
         took: Option<Nanos>,
         now: Nanos,
     ) {
         let (class, tenant, key) = (query.class, query.tenant, query.key);
-        if let Some(copy) = self.shadow.read(&Read { class, tenant, key, live, length, hit, took }, now) {
+        if let Some(copy) = self.shadow.offer_read(
+            &Read { class, tenant, key, outcome: live, value_bytes: length, hit, latency: took },
+            now,
+        ) {
             self.pending.push((copy, query.clone()));
         }
     }
@@ -240,17 +251,17 @@
     fn send_pending(&mut self, registry: &Registry, timers: &mut Timers, now: Nanos) {
         for (copy, query) in std::mem::take(&mut self.pending) {
             let Some(key) = self.idle_connection(copy.candidate, registry, now) else {
-                self.copy_ended(copy.number, Side::Error, None, 0, now);
+                self.copy_ended(copy.number, ReadOutcome::Error, None, 0, now);
                 continue;
             };
             let connection = &mut self.connections[key];
             connection.output.clear();
             let id = format!("{}{:x}", self.id_prefix, copy.number);
-            let timeout_ms = (copy.until.saturating_sub(now) / MS).max(1);
+            let timeout_ms = (copy.deadline.saturating_sub(now) / MS).max(1);
             query.encode_with_id(id.as_bytes(), timeout_ms, &mut connection.output);
             (connection.written, connection.copy) = (0, Some((copy.number, None)));
             connection.last_used = now;
-            timers.set(copy.until, TimerEvent::ShadowTimeout(copy.number));
+            timers.set(copy.deadline, TimerEvent::ShadowTimeout(copy.number));
             if connection.connected {
                 self.flush(key, now);
             }
@@ -302,7 +313,7 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.close(key, Side::Error, now),
+                Err(_) => return self.close(key, ReadOutcome::Error, now),
             }
         }
     }
@@ -314,17 +325,17 @@
             match (connection.stream.take_error(), connection.stream.peer_addr()) {
                 (Ok(None), Ok(_)) => connection.connected = true,
                 (Ok(None), Err(e)) if e.kind() == io::ErrorKind::NotConnected => return,
-                _ => return self.close(key, Side::Error, now),
+                _ => return self.close(key, ReadOutcome::Error, now),
             }
         }
         self.flush(key, now);
         while let Some(connection) = self.connections.get_mut(key) {
             match connection.stream.read(buffer) {
-                Ok(0) => return self.close(key, Side::Error, now),
+                Ok(0) => return self.close(key, ReadOutcome::Error, now),
                 Ok(n) => self.receive(key, &buffer[..n], now),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.close(key, Side::Error, now),
+                Err(_) => return self.close(key, ReadOutcome::Error, now),
             }
         }
     }
@@ -336,19 +347,19 @@
         // Unsolicited bytes, and an answer that is too long to be compared, close the connection.
         let fits = c.reply_bytes.len() + input.len() <= max_bytes;
         let Some((number, Some(written_at))) = c.copy.filter(|_| fits) else {
-            return self.close(key, Side::Error, now);
+            return self.close(key, ReadOutcome::Error, now);
         };
         c.reply_bytes.extend_from_slice(input);
-        let Ok((used, reply)) = c.parser.feed(input) else { return self.close(key, Side::Error, now) };
+        let Ok((used, reply)) = c.parser.feed(input) else { return self.close(key, ReadOutcome::Error, now) };
         let is_long = c.parser.take_part(reply.as_ref()).is_some();
         let Some(reply) = reply else { return };
         let value = c.reply_bytes.get(reply.value.clone()).unwrap_or_default();
         let side = match reply.kind {
-            _ if is_long || value.len() > self.max_value_bytes || used < input.len() => Side::Error,
-            ReplyKind::Served => Side::Value(Digest::of(value)),
-            ReplyKind::Busy => Side::Busy,
-            ReplyKind::Failed if c.reply_bytes.first() == Some(&b'*') => Side::Missing,
-            ReplyKind::Failed => Side::Error,
+            _ if is_long || value.len() > self.max_value_bytes || used < input.len() => ReadOutcome::Error,
+            ReplyKind::Served => ReadOutcome::Value(Digest::of(value)),
+            ReplyKind::Busy => ReadOutcome::Busy,
+            ReplyKind::Failed if c.reply_bytes.first() == Some(&b'*') => ReadOutcome::Missing,
+            ReplyKind::Failed => ReadOutcome::Error,
         };
         (c.copy, c.last_used) = (None, now);
         c.reply_bytes.clear();
@@ -359,14 +370,14 @@
     }
 
     /// Closes a connection. The copy that it carried, if any, ends with this result.
-    fn close(&mut self, key: usize, side: Side, now: Nanos) {
+    fn close(&mut self, key: usize, side: ReadOutcome, now: Nanos) {
         if let Some((number, _)) = self.connections.try_remove(key).and_then(|c| c.copy) {
             self.copy_ended(number, side, None, 0, now);
         }
     }
 
-    fn copy_ended(&mut self, number: u64, side: Side, hit: Option<bool>, took: Nanos, now: Nanos) {
-        let cancelled = self.shadow.ended(number, Ended { side, hit, took }, now);
+    fn copy_ended(&mut self, number: u64, side: ReadOutcome, hit: Option<bool>, took: Nanos, now: Nanos) {
+        let cancelled = self.shadow.copy_ended(number, CopyResult { outcome: side, hit, latency: took }, now);
         self.cancel(&cancelled);
     }
 
@@ -374,7 +385,7 @@
     pub fn copy_timeout(&mut self, number: u64, now: Nanos) {
         let carries = |(_, c): &(usize, &Connection)| c.copy.is_some_and(|(n, _)| n == number);
         if let Some((key, _)) = self.connections.iter().find(carries) {
-            self.close(key, Side::Late, now);
+            self.close(key, ReadOutcome::TimedOut, now);
         }
     }
 
@@ -401,7 +412,7 @@
 
     fn apply_candidates(&mut self, now: Nanos) {
         let ids = self.addresses.keys().copied().filter(|id| !self.live_candidates.contains(id)).collect();
-        let cancelled = self.shadow.candidates(ids, now);
+        let cancelled = self.shadow.set_candidates(ids, now);
         self.cancel(&cancelled);
         let live = &self.live_candidates;
         self.connections.retain(|_, c| !live.contains(&c.candidate));
@@ -409,10 +420,10 @@
 
     /// Passes on the load of the live side, with `counts` of served and refused requests since the start, and closes
     /// idle connections.
-    fn sweep(&mut self, mut load: Vitals, counts: [u64; 2], now: Nanos) {
+    fn sweep(&mut self, mut load: LiveLoad, counts: [u64; 2], now: Nanos) {
         let previous = std::mem::replace(&mut self.previous_counts, counts);
         [load.served, load.refused] = [0, 1].map(|i| (counts[i] - previous[i]) as u32);
-        let cancelled = self.shadow.look(&load, now);
+        let cancelled = self.shadow.update_load(&load, now);
         self.cancel(&cancelled);
         self.connections.retain(|_, c| c.copy.is_some() || now.saturating_sub(c.last_used) < IDLE_TIMEOUT);
     }
@@ -428,7 +439,7 @@
             let message = format!("lease_ms is {lease_ms}; {MIN_LEASE_MS} to {MAX_LEASE_MS} is allowed");
             return Err(Error::new(Code::BadRequest, message));
         }
-        let is_newer = generation > self.shadow.kept().generation;
+        let is_newer = generation > self.shadow.persisted_state().generation;
         self.shadow.start(generation, lease_ms * MS, now).map_err(refusal)?;
         if is_newer {
             self.live_candidates.clear();
@@ -457,7 +468,7 @@
             samples: self.shadow.samples().copied().collect(),
             times: self
                 .shadow
-                .times()
+                .latencies()
                 .iter()
                 .map(|(class, t)| (name(class), STANDARD.encode(t.to_bytes())))
                 .collect(),
@@ -465,12 +476,12 @@
     }
 }
 
-fn refusal(reason: Refused) -> Error {
+fn refusal(reason: CommandError) -> Error {
     match reason {
-        Refused::Stale(current) => {
+        CommandError::Stale(current) => {
             Error::new(Code::Stale, format!("generation {current} of the copying is in force"))
         }
-        Refused::Stopped(stop) => Error::new(
+        CommandError::Stopped(stop) => Error::new(
             Code::Stale,
             format!("copying under this generation has stopped: {stop:?}; start a later one"),
         ),
@@ -502,14 +513,14 @@
         }
         let now = self.event_loop.now;
         shadow_traffic.read_served(query, reply, bytes, took, now);
-        shadow_traffic.shadow.worked(self.event_loop.clock.now().saturating_sub(started), now);
+        shadow_traffic.shadow.record_cpu_time(self.event_loop.clock.now().saturating_sub(started), now);
     }
 
     /// Handles a long value that a live box begins to serve. It is streamed to the client, so it cannot be compared.
     pub(crate) fn shadow_long_value(&mut self, query: &Rc<Query>, length: usize) {
         if let Some(shadow_traffic) = self.shadow_traffic.as_mut().filter(|_| !query.write) {
             let length = length.max(shadow_traffic.max_value_bytes + 1);
-            shadow_traffic.choose_copy(query, Side::Error, length, None, None, self.event_loop.now);
+            shadow_traffic.choose_copy(query, ReadOutcome::Error, length, None, None, self.event_loop.now);
         }
     }
 
@@ -531,7 +542,7 @@
         let (registry, timers) = self.event_loop.registry_and_timers();
         shadow_traffic.send_pending(registry, timers, started);
         let now = self.event_loop.clock.now();
-        shadow_traffic.shadow.worked(now.saturating_sub(started), now);
+        shadow_traffic.shadow.record_cpu_time(now.saturating_sub(started), now);
     }
 
     /// Excludes candidates that are live boxes, after the list of boxes has changed.
@@ -547,7 +558,7 @@
         let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
         let counters = self.observers.counters;
         let (open, room) = (self.requests.len(), self.config.max_open_requests);
-        let load = Vitals { loop_delay, open, room, ..Vitals::default() };
+        let load = LiveLoad { loop_delay, open, max_open: room, ..LiveLoad::default() };
         shadow_traffic.sweep(load, [counters.served, counters.refused], self.event_loop.now);
         self.persist_shadow_state();
     }
@@ -555,7 +566,7 @@
     /// Writes the part of the state that must survive a restart, if it has changed.
     pub(crate) fn persist_shadow_state(&mut self) {
         let Some(shadow_traffic) = &self.shadow_traffic else { return };
-        let kept = shadow_traffic.shadow.kept();
+        let kept = shadow_traffic.shadow.persisted_state();
         if kept != self.persisted.state.shadow {
             let state = State { shadow: kept, ..self.persisted.state.clone() };
             if let Err(e) = self.persisted.store(state) {
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -437,7 +437,7 @@
         assert_eq!(client.command()[0].len(), 100 << 10);
     }
     let told = until(&mut controller, |t| t["status"]["counts"]["reads"] == 5);
-    let long = shadow::CAUSES.iter().position(|(_, word)| *word == "long").expect("a cause");
+    let long = shadow::SKIP_REASONS.iter().position(|(_, word)| *word == "long").expect("a cause");
     assert_eq!(told["status"]["counts"]["dropped"][long], 5, "{told}");
     assert!(asked.lock().expect("a lock").is_empty());
 }
--- a/crates/shadow/src/budget.rs
+++ b/crates/shadow/src/budget.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 /// The most of these times that lie in one second: what a budget is judged by.
-pub fn most_in_a_second(mut times: Vec<Nanos>) -> usize {
+pub fn max_in_any_second(mut times: Vec<Nanos>) -> usize {
     times.sort_unstable();
     let within = times.iter().enumerate().map(|(i, t)| times[i..].partition_point(|u| *u < t + SECOND));
     within.max().unwrap_or(0)
@@ -13,15 +13,15 @@
 
 /// At most so many in any second: the last ones are remembered, so there is no burst at a second's edge.
 #[derive(Clone, Debug)]
-pub struct Rate {
+pub struct RateLimiter {
     most: usize,
     last: VecDeque<Nanos>,
 }
 
-impl Rate {
+impl RateLimiter {
     /// So many a second.
     pub fn new(most: usize) -> Self {
-        Rate { most, last: VecDeque::new() }
+        RateLimiter { most, last: VecDeque::new() }
     }
 
     /// One more is allowed.
@@ -42,7 +42,7 @@
 ///
 /// Half of the whole is shared out. Danger: proxies don't talk. One that believes that it is alone takes that half, and
 /// all others together have no more than the other; so the whole still holds with one that is wrong.
-pub fn part(whole: u32, proxies: u32, index: u32) -> u32 {
+pub fn proxy_share(whole: u32, proxies: u32, index: u32) -> u32 {
     let (half, proxies) = (whole / 2, proxies.max(1));
     half / proxies + u32::from(index < half % proxies)
 }
@@ -53,7 +53,7 @@
 /// any time until the copy was answered or its time was up, and the place is held for a second beyond that: so all
 /// fetches of any one second had their places at the same moment, and there are not more places than `most`.
 #[derive(Clone, Debug)]
-pub struct Misses {
+pub struct MissBudget {
     most: usize,
     /// Copies that are not answered, and until when a fetch for them may begin.
     open: BTreeMap<u64, Nanos>,
@@ -61,14 +61,14 @@
     held: BinaryHeap<Reverse<Nanos>>,
 }
 
-impl Misses {
+impl MissBudget {
     /// So many in any second.
     pub fn new(most: usize) -> Self {
-        Misses { most, open: BTreeMap::new(), held: BinaryHeap::new() }
+        MissBudget { most, open: BTreeMap::new(), held: BinaryHeap::new() }
     }
 
     /// From now on so many. What is taken stays taken.
-    pub fn allow(&mut self, most: usize) {
+    pub fn set_limit(&mut self, most: usize) {
         self.most = most;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// A copy ended: by an answer, which says whether it was a `hit`, or without one.
-    pub fn ended(&mut self, copy: u64, answered: Option<bool>, now: Nanos) {
+    pub fn release(&mut self, copy: u64, answered: Option<bool>, now: Nanos) {
         let Some(until) = self.open.remove(&copy) else { return };
         match answered {
             Some(true) => {}
@@ -103,21 +103,21 @@
 
 /// Time of the loop that copying has used, in tenths of a second; the last whole second of them counts.
 #[derive(Clone, Debug, Default)]
-pub struct Work {
-    tenths: [Nanos; Work::TENTHS],
+pub struct CpuUsage {
+    tenths: [Nanos; CpuUsage::TENTHS],
     at: Nanos,
 }
 
-impl Work {
+impl CpuUsage {
     /// A second, and the tenth that is under way.
     const TENTHS: usize = 11;
     const TENTH: Nanos = SECOND / 10;
 
     fn turn(&mut self, now: Nanos) {
-        let tenth = now / Work::TENTH;
-        let gone = tenth.saturating_sub(self.at).min(Work::TENTHS as Nanos);
+        let tenth = now / CpuUsage::TENTH;
+        let gone = tenth.saturating_sub(self.at).min(CpuUsage::TENTHS as Nanos);
         for i in 0..gone {
-            self.tenths[((self.at + 1 + i) % Work::TENTHS as Nanos) as usize] = 0;
+            self.tenths[((self.at + 1 + i) % CpuUsage::TENTHS as Nanos) as usize] = 0;
         }
         self.at = self.at.max(tenth);
     }
@@ -125,11 +125,11 @@
     /// So much was used.
     pub fn add(&mut self, now: Nanos, used: Nanos) {
         self.turn(now);
-        self.tenths[(self.at % Work::TENTHS as Nanos) as usize] += used;
+        self.tenths[(self.at % CpuUsage::TENTHS as Nanos) as usize] += used;
     }
 
     /// Used in the last second.
-    pub fn used(&mut self, now: Nanos) -> Nanos {
+    pub fn last_second(&mut self, now: Nanos) -> Nanos {
         self.turn(now);
         self.tenths.iter().sum()
     }
@@ -149,7 +149,7 @@
             most in 0_usize..20,
             gaps in proptest::collection::vec(0_u64..120, 1..400),
         ) {
-            let (mut rate, mut now, mut done) = (Rate::new(most), 0, Vec::new());
+            let (mut rate, mut now, mut done) = (RateLimiter::new(most), 0, Vec::new());
             for gap in gaps {
                 now += gap * MS;
                 if rate.allows(now) {
@@ -157,7 +157,7 @@
                     done.push(now);
                 }
             }
-            prop_assert!(most_in_a_second(done) <= most);
+            prop_assert!(max_in_any_second(done) <= most);
         }
 
         #[test]
@@ -167,7 +167,7 @@
         ) {
             // Each copy: a gap before it, when it is answered, how it ends, and when in its time it is fetched.
             const TIME: Nanos = 250 * MS;
-            let (mut misses, mut now) = (Misses::new(most), 0);
+            let (mut misses, mut now) = (MissBudget::new(most), 0);
             let (mut ends, mut fetched) = (BinaryHeap::new(), Vec::new());
             for (copy, (gap, answer, how, when)) in copies.into_iter().enumerate() {
                 now += gap * MS;
@@ -176,7 +176,7 @@
                         ends.push(Reverse((at, copy, said)));
                         break;
                     }
-                    misses.ended(copy, said, at);
+                    misses.release(copy, said, at);
                 }
                 if !misses.allows(now) {
                     continue;
@@ -195,7 +195,7 @@
                     fetched.push(now + ((last - now) as f64 * when) as Nanos);
                 }
             }
-            prop_assert!(most_in_a_second(fetched) <= most);
+            prop_assert!(max_in_any_second(fetched) <= most);
         }
 
         #[test]
@@ -205,10 +205,10 @@
             wrong in 0_u32..300,
             believed in 1_u32..300,
         ) {
-            let own = |i| if i == wrong { part(whole, believed, i) } else { part(whole, proxies, i) };
+            let own = |i| if i == wrong { proxy_share(whole, believed, i) } else { proxy_share(whole, proxies, i) };
             let all: u32 = (0..proxies).map(own).sum();
             prop_assert!(all <= whole);
-            let right: u32 = (0..proxies).map(|i| part(whole, proxies, i)).sum();
+            let right: u32 = (0..proxies).map(|i| proxy_share(whole, proxies, i)).sum();
             prop_assert_eq!(right, whole / 2);
         }
 
@@ -216,13 +216,13 @@
         fn work_of_the_last_second_is_never_counted_less_than_it_was(
             adds in proptest::collection::vec((0_u64..300, 0_u64..5), 1..200),
         ) {
-            let (mut work, mut now, mut all) = (Work::default(), 0, Vec::new());
+            let (mut work, mut now, mut all) = (CpuUsage::default(), 0, Vec::new());
             for (gap, used) in adds {
                 now += gap * MS;
                 work.add(now, used * MS);
                 all.push((now, used * MS));
                 let real: Nanos = all.iter().filter(|(at, _)| at + SECOND > now).map(|(_, u)| u).sum();
-                let counted = work.used(now);
+                let counted = work.last_second(now);
                 prop_assert!(counted >= real);
                 let longer = all.iter().filter(|(at, _)| at + SECOND + 200 * MS > now).map(|(_, u)| u).sum();
                 prop_assert!(counted <= longer);
--- a/crates/shadow/src/compare.rs
+++ b/crates/shadow/src/compare.rs
@@ -9,7 +9,7 @@
 
 /// What one side had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum ReadOutcome {
     /// A value with this digest.
     Value(u64),
     /// It says that there is no such record.
@@ -19,7 +19,7 @@
     /// Another error, an answer that can't be read or is too long, or a connection that ended.
     Error,
     /// It had not answered when the copy's time was up.
-    Late,
+    TimedOut,
 }
 
 /// How often what was found. Every copy that ended is in one of these, but for those in doubt still.
@@ -30,25 +30,30 @@
     /// They differed, and the record was seen to change between the reads.
     pub changed: u64,
     /// A write to the key, or another live value, was seen while the copy was out: nothing can be said.
-    pub crossed: u64,
+    #[serde(rename = "crossed")]
+    pub raced: u64,
     /// The candidate had an earlier value of the live side.
     pub stale: u64,
     /// It had another value, also when asked again.
     pub wrong: u64,
     /// It had another value, and the live one when asked again, which had not changed.
-    pub passing: u64,
+    #[serde(rename = "passing")]
+    pub transient: u64,
     /// It had no such record where the live side had one.
     pub missing: u64,
     /// It had a record where the live side had none.
-    pub surplus: u64,
+    #[serde(rename = "surplus")]
+    pub unexpected: u64,
     /// It turned the copy away.
     pub busy: u64,
     /// It failed.
     pub error: u64,
     /// It was late.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub timed_out: u64,
     /// It differed, and was not read again in time, or there were too many doubts.
-    pub unsettled: u64,
+    #[serde(rename = "unsettled")]
+    pub unresolved: u64,
 }
 
 impl Tally {
@@ -59,23 +64,23 @@
 
     /// Those that do.
     pub fn different(&self) -> u64 {
-        self.stale + self.wrong + self.passing + self.missing + self.surplus
+        self.stale + self.wrong + self.transient + self.missing + self.unexpected
     }
 
     /// Takes in what another proxy found.
-    pub fn add(&mut self, other: &Tally) {
+    pub fn merge(&mut self, other: &Tally) {
         self.equal += other.equal;
         self.changed += other.changed;
-        self.crossed += other.crossed;
+        self.raced += other.raced;
         self.stale += other.stale;
         self.wrong += other.wrong;
-        self.passing += other.passing;
+        self.transient += other.transient;
         self.missing += other.missing;
-        self.surplus += other.surplus;
+        self.unexpected += other.unexpected;
         self.busy += other.busy;
         self.error += other.error;
-        self.late += other.late;
-        self.unsettled += other.unsettled;
+        self.timed_out += other.timed_out;
+        self.unresolved += other.unresolved;
     }
 }
 
@@ -87,12 +92,14 @@
     Stale,
     /// As [`Tally::wrong`].
     Wrong,
-    /// As [`Tally::passing`].
-    Passing,
+    /// As [`Tally::transient`].
+    #[serde(rename = "passing")]
+    Transient,
     /// As [`Tally::missing`].
     Missing,
-    /// As [`Tally::surplus`].
-    Surplus,
+    /// As [`Tally::unexpected`].
+    #[serde(rename = "surplus")]
+    Unexpected,
 }
 
 /// A difference that waits for the next read of its key.
@@ -104,7 +111,7 @@
 }
 
 /// Differences in doubt at the most.
-pub const DOUBTS: usize = 256;
+pub const MAX_PENDING: usize = 256;
 /// Live values that are remembered at the most.
 const PLACES: usize = 4_096;
 
@@ -158,48 +165,50 @@
     }
 
     /// The live side answered a read. True if it had another value before.
-    pub fn live(&mut self, place: u64, digest: u64) -> bool {
+    pub fn record_live(&mut self, place: u64, digest: u64) -> bool {
         self.lives.note(place, digest)
     }
 
     /// Differences that wait.
-    pub fn in_doubt(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.doubts.len()
     }
 
     /// A difference of this key waits for its next read.
-    pub fn doubts(&self, place: u64) -> bool {
+    pub fn is_pending(&self, place: u64) -> bool {
         self.doubts.contains_key(&place)
     }
 
     /// A copy ended. `crossed`: the record may have changed while it was out. What it showed, if that is a difference
     /// which counts.
-    pub fn ended(
+    pub fn record_copy(
         &mut self,
         place: u64,
-        live: Side,
-        candidate: Side,
+        live: ReadOutcome,
+        candidate: ReadOutcome,
         crossed: bool,
         now: Nanos,
     ) -> Option<Difference> {
         let t = &mut self.tally;
         match (live, candidate) {
-            (_, Side::Busy) => t.busy += 1,
-            (_, Side::Error) => t.error += 1,
-            (_, Side::Late) => t.late += 1,
-            _ if crossed => t.crossed += 1,
-            (Side::Missing, Side::Missing) => t.equal += 1,
-            (Side::Value(_), Side::Missing) => {
+            (_, ReadOutcome::Busy) => t.busy += 1,
+            (_, ReadOutcome::Error) => t.error += 1,
+            (_, ReadOutcome::TimedOut) => t.timed_out += 1,
+            _ if crossed => t.raced += 1,
+            (ReadOutcome::Missing, ReadOutcome::Missing) => t.equal += 1,
+            (ReadOutcome::Value(_), ReadOutcome::Missing) => {
                 t.missing += 1;
                 return Some(Difference::Missing);
             }
-            (Side::Missing, Side::Value(_)) => {
-                t.surplus += 1;
-                return Some(Difference::Surplus);
+            (ReadOutcome::Missing, ReadOutcome::Value(_)) => {
+                t.unexpected += 1;
+                return Some(Difference::Unexpected);
+            }
+            (ReadOutcome::Value(live), ReadOutcome::Value(candidate)) => {
+                return self.values(place, live, candidate, now)
             }
-            (Side::Value(live), Side::Value(candidate)) => return self.values(place, live, candidate, now),
             // A live side that failed has nothing to compare with.
-            _ => t.unsettled += 1,
+            _ => t.unresolved += 1,
         }
         None
     }
@@ -214,7 +223,7 @@
                 match (moved, before == Some(doubt.candidate)) {
                     (true, _) => None,
                     (false, true) => Some(Difference::Stale),
-                    (false, false) => Some(Difference::Passing),
+                    (false, false) => Some(Difference::Transient),
                 }
             } else if (moved && candidate == doubt.live) || before == Some(candidate) {
                 Some(Difference::Stale)
@@ -224,25 +233,25 @@
             match difference {
                 None => t.changed += 1,
                 Some(Difference::Stale) => t.stale += 1,
-                Some(Difference::Passing) => t.passing += 1,
+                Some(Difference::Transient) => t.transient += 1,
                 Some(_) => t.wrong += 1,
             }
             return difference;
         } else if live == candidate {
             self.tally.equal += 1;
-        } else if self.doubts.len() < DOUBTS {
+        } else if self.doubts.len() < MAX_PENDING {
             self.doubts.insert(place, Doubt { live, candidate, at: now });
         } else {
-            self.tally.unsettled += 1;
+            self.tally.unresolved += 1;
         }
         None
     }
 
     /// Drops doubts that have stood too long.
-    pub fn tick(&mut self, now: Nanos) {
+    pub fn expire(&mut self, now: Nanos) {
         let (before, patience) = (self.doubts.len(), self.patience);
         self.doubts.retain(|_, d| now.saturating_sub(d.at) < patience);
-        self.tally.unsettled += (before - self.doubts.len()) as u64;
+        self.tally.unresolved += (before - self.doubts.len()) as u64;
     }
 }
 
@@ -257,8 +266,8 @@
     fn played(reads: &[(u64, u64)]) -> Tally {
         let mut c = Comparison::new(10 * SECOND);
         for (live, candidate) in reads {
-            c.live(KEY, *live);
-            c.ended(KEY, Side::Value(*live), Side::Value(*candidate), false, 0);
+            c.record_live(KEY, *live);
+            c.record_copy(KEY, ReadOutcome::Value(*live), ReadOutcome::Value(*candidate), false, 0);
         }
         c.tally
     }
@@ -270,7 +279,7 @@
         assert_eq!(played(&[(1, 2), (2, 2)]), Tally { equal: 1, changed: 1, ..none });
         assert_eq!(played(&[(1, 9), (1, 9)]), Tally { wrong: 1, ..none });
         assert_eq!(played(&[(1, 8), (1, 9)]), Tally { wrong: 1, ..none });
-        assert_eq!(played(&[(1, 9), (1, 1)]), Tally { equal: 1, passing: 1, ..none });
+        assert_eq!(played(&[(1, 9), (1, 1)]), Tally { equal: 1, transient: 1, ..none });
         // One version behind: seen as such by the live value before, or as the live side moves on.
         assert_eq!(played(&[(1, 1), (2, 1), (2, 1)]), Tally { equal: 1, stale: 1, ..none });
         assert_eq!(played(&[(1, 1), (2, 1), (2, 2)]), Tally { equal: 2, stale: 1, ..none });
@@ -280,38 +289,38 @@
     #[test]
     fn one_side_alone_and_crossed_ones_have_their_own_counts() {
         let mut c = Comparison::new(SECOND);
-        let one = Side::Value(1);
-        c.ended(KEY, one, Side::Missing, false, 0);
-        c.ended(KEY, Side::Missing, one, false, 0);
-        c.ended(KEY, Side::Missing, Side::Missing, false, 0);
-        c.ended(KEY, one, Side::Busy, true, 0);
-        c.ended(KEY, one, Side::Error, false, 0);
-        c.ended(KEY, one, Side::Late, false, 0);
-        c.ended(KEY, one, Side::Value(2), true, 0);
+        let one = ReadOutcome::Value(1);
+        c.record_copy(KEY, one, ReadOutcome::Missing, false, 0);
+        c.record_copy(KEY, ReadOutcome::Missing, one, false, 0);
+        c.record_copy(KEY, ReadOutcome::Missing, ReadOutcome::Missing, false, 0);
+        c.record_copy(KEY, one, ReadOutcome::Busy, true, 0);
+        c.record_copy(KEY, one, ReadOutcome::Error, false, 0);
+        c.record_copy(KEY, one, ReadOutcome::TimedOut, false, 0);
+        c.record_copy(KEY, one, ReadOutcome::Value(2), true, 0);
         let expected = Tally {
             missing: 1,
-            surplus: 1,
+            unexpected: 1,
             equal: 1,
             busy: 1,
             error: 1,
-            late: 1,
-            crossed: 1,
+            timed_out: 1,
+            raced: 1,
             ..Tally::default()
         };
-        assert_eq!((c.tally, c.in_doubt()), (expected, 0));
+        assert_eq!((c.tally, c.pending_count()), (expected, 0));
         assert_eq!((c.tally.different(), c.tally.compared()), (2, 3));
     }
 
     #[test]
     fn doubts_are_bounded_and_do_not_stand_for_ever() {
         let mut c = Comparison::new(SECOND);
-        for place in 0..DOUBTS as u64 + 5 {
-            c.ended(place, Side::Value(1), Side::Value(2), false, 0);
+        for place in 0..MAX_PENDING as u64 + 5 {
+            c.record_copy(place, ReadOutcome::Value(1), ReadOutcome::Value(2), false, 0);
         }
-        assert_eq!((c.in_doubt(), c.tally.unsettled), (DOUBTS, 5));
-        c.tick(SECOND - 1);
-        assert_eq!(c.in_doubt(), DOUBTS);
-        c.tick(SECOND);
-        assert_eq!((c.in_doubt(), c.tally.unsettled), (0, DOUBTS as u64 + 5));
+        assert_eq!((c.pending_count(), c.tally.unresolved), (MAX_PENDING, 5));
+        c.expire(SECOND - 1);
+        assert_eq!(c.pending_count(), MAX_PENDING);
+        c.expire(SECOND);
+        assert_eq!((c.pending_count(), c.tally.unresolved), (0, MAX_PENDING as u64 + 5));
     }
 }
--- a/crates/shadow/src/lib.rs
+++ b/crates/shadow/src/lib.rs
@@ -14,12 +14,13 @@
 pub mod sample;
 pub mod verdict;
 
-pub use compare::{Difference, Side, Tally};
+pub use compare::{Difference, ReadOutcome, Tally};
 pub use machine::{
-    Cause, Copy, Counts, Ended, Kept, Read, Refused, Sample, Settings, Shadow, State, Status, CAUSES,
+    CommandError, CopyRequest, CopyResult, Counts, PersistedState, Read, Sample, Settings, Shadow,
+    SkipReason, State, Status, SKIP_REASONS,
 };
-pub use ramp::{Stop, Trouble, Vitals};
-pub use verdict::{Report, Word};
+pub use ramp::{LiveLoad, Stop, Trouble};
+pub use verdict::{Report, Verdict};
 
 /// Times and spans, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/shadow/src/machine.rs
+++ b/crates/shadow/src/machine.rs
@@ -1,10 +1,10 @@
 //! The state machine: reads that were served go in, copies come out, and what became of those goes in again.
 
-use crate::budget::{part, Misses, Rate, Work};
-use crate::compare::{Comparison, Difference, Side};
-use crate::ramp::{Ramp, Stop, Trouble, Vitals};
-use crate::sample::{candidate, is_in, place, Tenants};
-use crate::verdict::{share, Report, Times, Tolerance};
+use crate::budget::{proxy_share, CpuUsage, MissBudget, RateLimiter};
+use crate::compare::{Comparison, Difference, ReadOutcome};
+use crate::ramp::{LiveLoad, Ramp, Stop, Trouble};
+use crate::sample::{is_sampled, pick_candidate, sampling_hash, Tenants};
+use crate::verdict::{wilson_interval, LatencyHistograms, Report, Tolerance};
 use crate::{Nanos, MS, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -23,36 +23,42 @@
     pub tenants: Tenants,
     /// Chooses the keys; the same at all proxies.
     pub salt: u64,
-    /// Parts of the keys that are copied at first, and at the most, in millionths.
-    pub parts: [u32; 2],
+    /// Parts per million of the keys that are copied at first.
+    pub initial_sampling_ppm: u32,
+    /// The most parts per million of the keys that are copied.
+    pub max_sampling_ppm: u32,
     /// A step of the ramp is no shorter.
-    pub step: Nanos,
+    pub ramp_step: Nanos,
     /// Copies of this proxy in any second.
-    pub copies: usize,
+    pub copies_per_second: usize,
     /// Copies of this proxy that are open at once.
-    pub open: usize,
-    /// The longest answer that is compared, in bytes, and what all that are open may hold.
-    pub bytes: [usize; 2],
+    pub max_open_copies: usize,
+    /// The longest answer that is compared, in bytes.
+    pub max_value_bytes: usize,
+    /// The most bytes that the answers of all open copies may hold together.
+    pub max_held_bytes: usize,
     /// Part of the loop's time that copying may take.
-    pub cpu: f64,
+    pub max_cpu_share: f64,
     /// Misses of all proxies together in any second.
-    pub misses: u32,
-    /// How many proxies there are, and which of them this is.
-    pub proxies: [u32; 2],
+    pub misses_per_second: u32,
+    /// The number of proxies.
+    pub proxy_count: u32,
+    /// The index of this proxy among them.
+    pub proxy_index: u32,
     /// A copy has so long.
-    pub deadline: Nanos,
+    pub copy_timeout: Nanos,
     /// What is tolerated before a candidate is called worse.
     pub tolerance: Tolerance,
     /// The share of different answers at which copying stops.
-    pub stop_different: f64,
+    pub stop_difference_rate: f64,
     /// So many keys of answers that differed are kept, the latest ones. 0: none is.
-    pub samples: usize,
+    pub max_samples: usize,
 }
 
 impl Settings {
     /// Misses of this proxy in any second.
-    pub fn misses_here(&self) -> u32 {
-        part(self.misses, self.proxies[0], self.proxies[1])
+    pub fn own_misses_per_second(&self) -> u32 {
+        proxy_share(self.misses_per_second, self.proxy_count, self.proxy_index)
     }
 }
 
@@ -66,45 +72,45 @@
     /// Its key.
     pub key: u64,
     /// What the live side had.
-    pub live: Side,
+    pub outcome: ReadOutcome,
     /// Bytes of the value.
-    pub length: usize,
+    pub value_bytes: usize,
     /// The box had it in its cache; nothing if that is not told.
     pub hit: Option<bool>,
     /// From the box's request to its answer; nothing where that had to wait behind another answer.
-    pub took: Option<Nanos>,
+    pub latency: Option<Nanos>,
 }
 
 /// A copy to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Copy {
+pub struct CopyRequest {
     /// Its number, once in this life.
     pub number: u64,
     /// The candidate, by its id.
     pub candidate: u64,
     /// Its time is up then.
-    pub until: Nanos,
+    pub deadline: Nanos,
 }
 
 /// What became of a copy.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct CopyResult {
     /// What the candidate had.
-    pub side: Side,
+    pub outcome: ReadOutcome,
     /// It had it in its cache; nothing if it did not say so.
     pub hit: Option<bool>,
     /// From its request to its answer.
-    pub took: Nanos,
+    pub latency: Nanos,
 }
 
 macro_rules! causes {
     ($($(#[doc = $doc:literal])* $name:ident: $word:literal,)*) => {
         /// Why a read was not copied.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Cause { $($(#[doc = $doc])* $name,)* }
+        pub enum SkipReason { $($(#[doc = $doc])* $name,)* }
 
         /// All causes, by their words.
-        pub const CAUSES: &[(Cause, &str)] = &[$((Cause::$name, $word),)*];
+        pub const SKIP_REASONS: &[(SkipReason, &str)] = &[$((SkipReason::$name, $word),)*];
     };
 }
 
@@ -112,25 +118,25 @@
     /// Its class or its tenant is left out.
     Excluded: "excluded",
     /// Its key is not among those that are copied now.
-    Unchosen: "unchosen",
+    NotSampled: "unchosen",
     /// There is no candidate.
     NoCandidate: "no-candidate",
     /// Its value is too long.
-    Long: "long",
+    ValueTooLong: "long",
     /// This process has begun so recently that copies of the one before may still be under way.
-    Fresh: "fresh",
+    RecentRestart: "fresh",
     /// Too many copies in this second.
-    Rate: "rate",
+    RateLimit: "rate",
     /// Too many copies are open.
-    Open: "open",
+    OpenLimit: "open",
     /// Copies that are open may already hold all bytes.
-    Held: "held",
+    HeldBytesLimit: "held",
     /// Copying has had its part of the loop.
-    Cpu: "cpu",
+    CpuLimit: "cpu",
     /// The candidate may have to fetch too much.
-    Misses: "misses",
+    MissLimit: "misses",
     /// A copy of this key is open already.
-    Twice: "twice",
+    AlreadyOpen: "twice",
 }
 
 /// What was copied and what was not.
@@ -141,9 +147,11 @@
     /// Copies sent.
     pub copies: u64,
     /// Those that were called off: the candidate left, or copying ended.
-    pub called_off: u64,
-    /// Reads that were not copied, by cause, in the order of [`CAUSES`].
-    pub dropped: [u64; CAUSES.len()],
+    #[serde(rename = "called_off")]
+    pub cancelled: u64,
+    /// Reads that were not copied, by cause, in the order of [`SKIP_REASONS`].
+    #[serde(rename = "dropped")]
+    pub skipped: [u64; SKIP_REASONS.len()],
     /// Hits among the copies that were answered, over time: copies and hits in each span, the latest last.
     pub hits: Vec<[u64; 2]>,
 }
@@ -156,7 +164,8 @@
     /// Its class, by number.
     pub class: u32,
     /// How they differed.
-    pub how: Difference,
+    #[serde(rename = "how")]
+    pub difference: Difference,
 }
 
 /// Whether reads are copied.
@@ -177,7 +186,7 @@
 
 /// What outlives the process: a stop holds over a restart, and an order is carried out once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedState {
     /// The last order's number.
     pub generation: u64,
     /// Copying has stopped, and why.
@@ -186,7 +195,7 @@
 
 /// Why an order was not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum CommandError {
     /// A later one is in force; its number.
     Stale(u64),
     /// Copying under this number has stopped.
@@ -201,17 +210,21 @@
     /// The last order's number.
     pub generation: u64,
     /// Millionths of the keys that are copied now.
-    pub parts: u32,
+    #[serde(rename = "parts")]
+    pub sampling_ppm: u32,
     /// The last trouble, and for how long it has been over, in milliseconds.
     pub trouble: Option<(Trouble, u64)>,
     /// Candidates.
     pub candidates: usize,
     /// Copies that are open.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub open_copies: usize,
     /// Differences that wait to be asked for again.
-    pub doubts: usize,
+    #[serde(rename = "doubts")]
+    pub pending_differences: usize,
     /// Misses that this proxy may cause in a second.
-    pub misses: u32,
+    #[serde(rename = "misses")]
+    pub misses_per_second: u32,
     /// What was copied and what was not.
     pub counts: Counts,
 }
@@ -222,7 +235,7 @@
     place: u64,
     candidate: u64,
     class: u32,
-    live: Side,
+    live: ReadOutcome,
     hit: Option<bool>,
     took: Option<Nanos>,
     crossed: bool,
@@ -232,18 +245,18 @@
 #[derive(Debug)]
 pub struct Shadow {
     settings: Settings,
-    kept: Kept,
+    kept: PersistedState,
     state: State,
     /// Until then nothing is copied: what the process before this one has sent may still be under way.
     fresh: Nanos,
     candidates: Vec<u64>,
-    rate: Rate,
-    misses: Misses,
-    work: Work,
+    rate: RateLimiter,
+    misses: MissBudget,
+    work: CpuUsage,
     ramp: Ramp,
     open: BTreeMap<u64, Open>,
     comparison: Comparison,
-    times: BTreeMap<u32, Times>,
+    times: BTreeMap<u32, LatencyHistograms>,
     samples: VecDeque<Sample>,
     counts: Counts,
     /// The number of the latest span.
@@ -255,20 +268,20 @@
 
 impl Shadow {
     /// Off, with what a process before this one has kept.
-    pub fn new(settings: Settings, kept: Kept, now: Nanos) -> Self {
+    pub fn new(settings: Settings, kept: PersistedState, now: Nanos) -> Self {
         let state = kept.stopped.map_or(State::Off, State::Stopped);
-        let [first, most] = settings.parts;
+        let (first, most) = (settings.initial_sampling_ppm, settings.max_sampling_ppm);
         Shadow {
             state,
             kept,
-            fresh: now + settings.deadline + SECOND,
+            fresh: now + settings.copy_timeout + SECOND,
             candidates: Vec::new(),
-            rate: Rate::new(settings.copies),
-            misses: Misses::new(settings.misses_here() as usize),
-            work: Work::default(),
-            ramp: Ramp::new(first, most, settings.step),
+            rate: RateLimiter::new(settings.copies_per_second),
+            misses: MissBudget::new(settings.own_misses_per_second() as usize),
+            work: CpuUsage::default(),
+            ramp: Ramp::new(first, most, settings.ramp_step),
             open: BTreeMap::new(),
-            comparison: Comparison::new(10 * settings.step),
+            comparison: Comparison::new(10 * settings.ramp_step),
             times: BTreeMap::new(),
             samples: VecDeque::new(),
             counts: Counts::default(),
@@ -285,19 +298,19 @@
     ///
     /// # Errors
     /// A later order is in force, or copying under this one has stopped by itself.
-    pub fn start(&mut self, generation: u64, lease: Nanos, now: Nanos) -> Result<(), Refused> {
+    pub fn start(&mut self, generation: u64, lease: Nanos, now: Nanos) -> Result<(), CommandError> {
         self.advance(now);
         if generation < self.kept.generation {
-            return Err(Refused::Stale(self.kept.generation));
+            return Err(CommandError::Stale(self.kept.generation));
         }
         let again = generation == self.kept.generation;
         if let Some(stop) = self.kept.stopped.filter(|_| again) {
-            return Err(Refused::Stopped(stop));
+            return Err(CommandError::Stopped(stop));
         }
         if !(again && self.is_on()) {
-            self.ramp.begin(self.now);
+            self.ramp.restart(self.now);
         }
-        self.kept = Kept { generation, stopped: None };
+        self.kept = PersistedState { generation, stopped: None };
         self.state = State::On { until: self.now + lease };
         Ok(())
     }
@@ -306,10 +319,10 @@
     ///
     /// # Errors
     /// A later order is in force.
-    pub fn stop(&mut self, generation: u64, now: Nanos) -> Result<Vec<u64>, Refused> {
+    pub fn stop(&mut self, generation: u64, now: Nanos) -> Result<Vec<u64>, CommandError> {
         self.advance(now);
         if generation < self.kept.generation {
-            return Err(Refused::Stale(self.kept.generation));
+            return Err(CommandError::Stale(self.kept.generation));
         }
         self.kept.generation = generation;
         Ok(self.end(Stop::Asked))
@@ -327,14 +340,14 @@
         let off: Vec<u64> = self.open.iter().filter(|(_, o)| which(o)).map(|(n, _)| *n).collect();
         for number in &off {
             self.open.remove(number);
-            self.misses.ended(*number, None, self.now);
+            self.misses.release(*number, None, self.now);
         }
-        self.counts.called_off += off.len() as u64;
+        self.counts.cancelled += off.len() as u64;
         off
     }
 
     /// What has to outlive the process.
-    pub fn kept(&self) -> Kept {
+    pub fn persisted_state(&self) -> PersistedState {
         self.kept
     }
 
@@ -345,7 +358,7 @@
     }
 
     /// The candidates that may be asked now, by their ids. The copies to others are called off; these are told.
-    pub fn candidates(&mut self, ids: Vec<u64>, now: Nanos) -> Vec<u64> {
+    pub fn set_candidates(&mut self, ids: Vec<u64>, now: Nanos) -> Vec<u64> {
         self.advance(now);
         let off = self.call_off(|o| !ids.contains(&o.candidate));
         self.candidates = ids;
@@ -353,14 +366,14 @@
     }
 
     /// How many proxies there are, and which of them this is.
-    pub fn proxies(&mut self, all: u32, index: u32) {
-        self.settings.proxies = [all, index];
+    pub fn set_proxies(&mut self, all: u32, index: u32) {
+        (self.settings.proxy_count, self.settings.proxy_index) = (all, index);
         // What is taken stays taken.
-        self.misses.allow(self.settings.misses_here() as usize);
+        self.misses.set_limit(self.settings.own_misses_per_second() as usize);
     }
 
     /// Copying took so long of the loop.
-    pub fn worked(&mut self, used: Nanos, now: Nanos) {
+    pub fn record_cpu_time(&mut self, used: Nanos, now: Nanos) {
         self.advance(now);
         self.work.add(self.now, used);
     }
@@ -371,64 +384,66 @@
     }
 
     /// A copy of such a read may be wanted: it is worth digesting its value. Nothing is counted.
-    pub fn wants(&self, class: u32, tenant: Option<u32>, key: u64) -> bool {
-        self.is_on() && self.chosen(class, tenant) && is_in(place(self.settings.salt, key), self.ramp.level())
+    pub fn is_wanted(&self, class: u32, tenant: Option<u32>, key: u64) -> bool {
+        self.is_on()
+            && self.chosen(class, tenant)
+            && is_sampled(sampling_hash(self.settings.salt, key), self.ramp.sampling_ppm())
     }
 
     fn chosen(&self, class: u32, tenant: Option<u32>) -> bool {
         self.settings.classes.get(class as usize).copied().unwrap_or(false)
-            && self.settings.tenants.has(tenant)
+            && self.settings.tenants.contains(tenant)
     }
 
     /// A live box has answered a read, and its client has the answer. The copy to send, if there is to be one.
-    pub fn read(&mut self, read: &Read, now: Nanos) -> Option<Copy> {
+    pub fn offer_read(&mut self, read: &Read, now: Nanos) -> Option<CopyRequest> {
         self.advance(now);
         let State::On { until } = self.state else { return None };
         if until <= self.now {
             return None;
         }
         self.counts.reads += 1;
-        if let (Some(false), Some(took)) = (read.hit, read.took) {
-            self.ramp.missed(took, self.now);
+        if let (Some(false), Some(took)) = (read.hit, read.latency) {
+            self.ramp.record_live_miss(took, self.now);
         }
-        let place = place(self.settings.salt, read.key);
+        let place = sampling_hash(self.settings.salt, read.key);
         let chosen = self.judge(read, place);
-        if let Side::Value(digest) = read.live {
-            let known = chosen != Err(Cause::Excluded) && chosen != Err(Cause::Unchosen);
-            if known && self.comparison.live(place, digest) {
+        if let ReadOutcome::Value(digest) = read.outcome {
+            let known = chosen != Err(SkipReason::Excluded) && chosen != Err(SkipReason::NotSampled);
+            if known && self.comparison.record_live(place, digest) {
                 self.cross(place);
             }
         }
         match chosen {
             Ok(candidate) => Some(self.copy(read, place, candidate)),
             Err(cause) => {
-                self.counts.dropped[cause as usize] += 1;
+                self.counts.skipped[cause as usize] += 1;
                 None
             }
         }
     }
 
     /// To which candidate, or why to none.
-    fn judge(&mut self, read: &Read, place: u64) -> Result<u64, Cause> {
+    fn judge(&mut self, read: &Read, place: u64) -> Result<u64, SkipReason> {
         let now = self.now;
         if !self.chosen(read.class, read.tenant) {
-            return Err(Cause::Excluded);
+            return Err(SkipReason::Excluded);
         }
-        if !is_in(place, self.ramp.level()) {
-            return Err(Cause::Unchosen);
+        if !is_sampled(place, self.ramp.sampling_ppm()) {
+            return Err(SkipReason::NotSampled);
         }
-        let index = candidate(place, self.candidates.iter().copied()).ok_or(Cause::NoCandidate)?;
-        let [longest, held] = self.settings.bytes;
-        let spent = self.settings.cpu * SECOND as f64;
+        let index = pick_candidate(place, self.candidates.iter().copied()).ok_or(SkipReason::NoCandidate)?;
+        let (longest, held) = (self.settings.max_value_bytes, self.settings.max_held_bytes);
+        let spent = self.settings.max_cpu_share * SECOND as f64;
         let causes = [
-            (read.length > longest, Cause::Long),
-            (now < self.fresh, Cause::Fresh),
-            (self.open.values().any(|o| o.place == place), Cause::Twice),
-            (!self.rate.allows(now), Cause::Rate),
-            (self.open.len() >= self.settings.open, Cause::Open),
-            ((self.open.len() + 1) * longest > held, Cause::Held),
-            (self.work.used(now) as f64 >= spent, Cause::Cpu),
-            (!self.misses.allows(now), Cause::Misses),
+            (read.value_bytes > longest, SkipReason::ValueTooLong),
+            (now < self.fresh, SkipReason::RecentRestart),
+            (self.open.values().any(|o| o.place == place), SkipReason::AlreadyOpen),
+            (!self.rate.allows(now), SkipReason::RateLimit),
+            (self.open.len() >= self.settings.max_open_copies, SkipReason::OpenLimit),
+            ((self.open.len() + 1) * longest > held, SkipReason::HeldBytesLimit),
+            (self.work.last_second(now) as f64 >= spent, SkipReason::CpuLimit),
+            (!self.misses.allows(now), SkipReason::MissLimit),
         ];
         match causes.iter().find(|(holds, _)| *holds) {
             Some((_, cause)) => Err(*cause),
@@ -436,15 +451,15 @@
         }
     }
 
-    fn copy(&mut self, read: &Read, place: u64, candidate: u64) -> Copy {
-        let (number, until) = (self.number, self.now + self.settings.deadline);
+    fn copy(&mut self, read: &Read, place: u64, candidate: u64) -> CopyRequest {
+        let (number, until) = (self.number, self.now + self.settings.copy_timeout);
         self.number += 1;
         self.rate.take(self.now);
         self.misses.take(number, until);
         self.counts.copies += 1;
-        let Read { key, class, live, hit, took, .. } = *read;
+        let Read { key, class, outcome: live, hit, latency: took, .. } = *read;
         self.open.insert(number, Open { key, place, candidate, class, live, hit, took, crossed: false });
-        Copy { number, candidate, until }
+        CopyRequest { number, candidate, deadline: until }
     }
 
     fn cross(&mut self, place: u64) {
@@ -452,26 +467,28 @@
     }
 
     /// A client asked to write this key, or has been answered: what was read before may not be what there is now.
-    pub fn wrote(&mut self, key: u64) {
+    pub fn note_write(&mut self, key: u64) {
         if !self.open.is_empty() {
-            self.cross(place(self.settings.salt, key));
+            self.cross(sampling_hash(self.settings.salt, key));
         }
     }
 
     /// A copy ended. The copies that are to be called off, should this stop copying.
-    pub fn ended(&mut self, number: u64, ended: Ended, now: Nanos) -> Vec<u64> {
+    pub fn copy_ended(&mut self, number: u64, ended: CopyResult, now: Nanos) -> Vec<u64> {
         self.advance(now);
         let Some(open) = self.open.remove(&number) else { return Vec::new() };
-        let answered = matches!(ended.side, Side::Value(_) | Side::Missing);
-        self.misses.ended(number, answered.then_some(ended.hit == Some(true)), self.now);
-        let how = self.comparison.ended(open.place, open.live, ended.side, open.crossed, self.now);
-        if let Some(how) = how.filter(|_| self.settings.samples > 0) {
-            self.samples.truncate(self.settings.samples - 1);
-            self.samples.push_front(Sample { key: open.key, class: open.class, how });
+        let answered = matches!(ended.outcome, ReadOutcome::Value(_) | ReadOutcome::Missing);
+        self.misses.release(number, answered.then_some(ended.hit == Some(true)), self.now);
+        let how = self.comparison.record_copy(open.place, open.live, ended.outcome, open.crossed, self.now);
+        if let Some(how) = how.filter(|_| self.settings.max_samples > 0) {
+            self.samples.truncate(self.settings.max_samples - 1);
+            self.samples.push_front(Sample { key: open.key, class: open.class, difference: how });
         }
-        if let (Side::Value(_), Side::Value(_), Some(took)) = (open.live, ended.side, open.took) {
+        if let (ReadOutcome::Value(_), ReadOutcome::Value(_), Some(took)) =
+            (open.live, ended.outcome, open.took)
+        {
             let warm = open.hit == Some(true) && ended.hit == Some(true);
-            self.times.entry(open.class).or_default().add(warm, took, ended.took);
+            self.times.entry(open.class).or_default().record(warm, took, ended.latency);
         }
         if answered {
             self.spans();
@@ -480,20 +497,20 @@
                 span[1] += u64::from(ended.hit == Some(true));
             }
         }
-        let heard = !matches!(ended.side, Side::Late);
-        let stop = self.ramp.ended(heard, !answered, self.now).or_else(|| self.too_different());
+        let heard = !matches!(ended.outcome, ReadOutcome::TimedOut);
+        let stop = self.ramp.record_copy(heard, !answered, self.now).or_else(|| self.too_different());
         stop.map_or_else(Vec::new, |why| self.end(why))
     }
 
     fn too_different(&self) -> Option<Stop> {
         let (different, of) = (self.comparison.tally.different(), self.comparison.tally.compared());
-        let too = of >= COMPARED && share(different, of).low > self.settings.stop_different;
+        let too = of >= COMPARED && wilson_interval(different, of).low > self.settings.stop_difference_rate;
         too.then_some(Stop::Different { different, of })
     }
 
     /// Opens the spans up to now.
     fn spans(&mut self) {
-        let (at, hits) = (self.now / self.settings.step, &mut self.counts.hits);
+        let (at, hits) = (self.now / self.settings.ramp_step, &mut self.counts.hits);
         let gone = if hits.is_empty() { 1 } else { (at - self.span).min(SPANS as u64) as usize };
         hits.extend(std::iter::repeat_n([0, 0], gone));
         hits.drain(..hits.len().saturating_sub(SPANS));
@@ -501,14 +518,14 @@
     }
 
     /// Time goes by, and the live side is so. The copies that are to be called off.
-    pub fn look(&mut self, vitals: &Vitals, now: Nanos) -> Vec<u64> {
+    pub fn update_load(&mut self, vitals: &LiveLoad, now: Nanos) -> Vec<u64> {
         self.advance(now);
         let State::On { until } = self.state else { return Vec::new() };
         if until <= self.now {
             return self.end(Stop::Lease);
         }
-        self.ramp.look(vitals, self.now);
-        self.comparison.tick(self.now);
+        self.ramp.update(vitals, self.now);
+        self.comparison.expire(self.now);
         Vec::new()
     }
 
@@ -520,18 +537,18 @@
         Status {
             state: self.state,
             generation: self.kept.generation,
-            parts: if self.is_on() { self.ramp.level() } else { 0 },
+            sampling_ppm: if self.is_on() { self.ramp.sampling_ppm() } else { 0 },
             trouble: self.ramp.trouble().map(|(what, at)| (what, since(at))),
             candidates: self.candidates.len(),
-            open: self.open.len(),
-            doubts: self.comparison.in_doubt(),
-            misses: self.settings.misses_here(),
+            open_copies: self.open.len(),
+            pending_differences: self.comparison.pending_count(),
+            misses_per_second: self.settings.own_misses_per_second(),
             counts: self.counts.clone(),
         }
     }
 
     /// Times by class.
-    pub fn times(&self) -> &BTreeMap<u32, Times> {
+    pub fn latencies(&self) -> &BTreeMap<u32, LatencyHistograms> {
         &self.times
     }
 
--- a/crates/shadow/src/ramp.rs
+++ b/crates/shadow/src/ramp.rs
@@ -60,7 +60,7 @@
 
 /// How the live side is, since the last look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Vitals {
+pub struct LiveLoad {
     /// Requests served.
     pub served: u32,
     /// Requests refused.
@@ -70,10 +70,10 @@
     /// Requests open.
     pub open: usize,
     /// Requests that may be open.
-    pub room: usize,
+    pub max_open: usize,
 }
 
-impl Vitals {
+impl LiveLoad {
     /// What is wrong by these.
     fn trouble(&self) -> Option<Trouble> {
         let all = self.served + self.refused;
@@ -81,7 +81,7 @@
             Some(Trouble::Shedding)
         } else if self.loop_delay > 50 * MS {
             Some(Trouble::LoopDelay)
-        } else if self.open * 2 > self.room {
+        } else if self.open * 2 > self.max_open {
             Some(Trouble::RoomShort)
         } else {
             None
@@ -153,13 +153,13 @@
     }
 
     /// Begins anew from the first level.
-    pub fn begin(&mut self, now: Nanos) {
+    pub fn restart(&mut self, now: Nanos) {
         let origin = self.origin;
         *self = Ramp { since: now, origin, ..Ramp::new(self.first, self.most, self.step) };
     }
 
     /// Parts of the keys that are copied.
-    pub fn level(&self) -> u32 {
+    pub fn sampling_ppm(&self) -> u32 {
         self.level
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Looks at the live side; steps up where nothing is wrong for long enough.
-    pub fn look(&mut self, vitals: &Vitals, now: Nanos) {
+    pub fn update(&mut self, vitals: &LiveLoad, now: Nanos) {
         if let Some(trouble) = vitals.trouble() {
             self.fall(trouble, now);
         } else if now.saturating_sub(self.since) >= self.step {
@@ -187,14 +187,14 @@
     }
 
     /// A live miss took so long.
-    pub fn missed(&mut self, took: Nanos, now: Nanos) {
+    pub fn record_live_miss(&mut self, took: Nanos, now: Nanos) {
         if self.origin.slows(took) {
             self.fall(Trouble::OriginSlow, now);
         }
     }
 
     /// A copy ended: `answered` by its candidate, or not; and as it should, or `failed`. Why to stop, if so.
-    pub fn ended(&mut self, answered: bool, failed: bool, now: Nanos) -> Option<Stop> {
+    pub fn record_copy(&mut self, answered: bool, failed: bool, now: Nanos) -> Option<Stop> {
         self.row = if answered { 0 } else { self.row + 1 };
         self.well += u32::from(!failed);
         self.last = self.last << 1 | u64::from(failed);
@@ -212,67 +212,72 @@
     use super::*;
     use crate::SECOND;
 
-    const WELL: Vitals = Vitals { served: 100, refused: 0, loop_delay: 0, open: 10, room: 1_000 };
+    const WELL: LiveLoad = LiveLoad { served: 100, refused: 0, loop_delay: 0, open: 10, max_open: 1_000 };
 
     #[test]
     fn it_rises_by_doubling_while_all_hold_and_falls_to_nothing_at_trouble() {
         let mut ramp = Ramp::new(1_000, 5_000, 10 * SECOND);
-        ramp.begin(0);
-        ramp.look(&WELL, 10 * SECOND);
-        assert_eq!(ramp.level(), 1_000, "nothing is seen yet");
+        ramp.restart(0);
+        ramp.update(&WELL, 10 * SECOND);
+        assert_eq!(ramp.sampling_ppm(), 1_000, "nothing is seen yet");
         let mut now = 10 * SECOND;
         for level in [2_000, 4_000, 5_000, 5_000] {
-            (0..LEAST).for_each(|_| assert_eq!(ramp.ended(true, false, now), None));
-            ramp.look(&WELL, now);
-            assert_eq!(ramp.level(), level);
+            (0..LEAST).for_each(|_| assert_eq!(ramp.record_copy(true, false, now), None));
+            ramp.update(&WELL, now);
+            assert_eq!(ramp.sampling_ppm(), level);
             now += 10 * SECOND;
         }
         let bad = [
-            (Vitals { refused: 3, ..WELL }, Trouble::Shedding),
-            (Vitals { loop_delay: 51 * MS, ..WELL }, Trouble::LoopDelay),
-            (Vitals { open: 501, ..WELL }, Trouble::RoomShort),
+            (LiveLoad { refused: 3, ..WELL }, Trouble::Shedding),
+            (LiveLoad { loop_delay: 51 * MS, ..WELL }, Trouble::LoopDelay),
+            (LiveLoad { open: 501, ..WELL }, Trouble::RoomShort),
         ];
         for (vitals, trouble) in bad {
-            ramp.look(&vitals, now);
-            assert_eq!((ramp.level(), ramp.trouble()), (0, Some((trouble, now))));
-            ramp.look(&WELL, now + 9 * SECOND);
-            assert_eq!(ramp.level(), 0);
+            ramp.update(&vitals, now);
+            assert_eq!((ramp.sampling_ppm(), ramp.trouble()), (0, Some((trouble, now))));
+            ramp.update(&WELL, now + 9 * SECOND);
+            assert_eq!(ramp.sampling_ppm(), 0);
             now += 10 * SECOND;
-            ramp.look(&WELL, now);
-            assert_eq!(ramp.level(), 1_000, "from the first level again");
+            ramp.update(&WELL, now);
+            assert_eq!(ramp.sampling_ppm(), 1_000, "from the first level again");
         }
         // A few refusals among few answers say nothing.
-        ramp.look(&Vitals { served: 10, refused: 5, ..WELL }, now);
-        assert_eq!(ramp.level(), 1_000);
+        ramp.update(&LiveLoad { served: 10, refused: 5, ..WELL }, now);
+        assert_eq!(ramp.sampling_ppm(), 1_000);
     }
 
     #[test]
     fn a_slower_origin_and_a_silent_candidate_are_trouble() {
         let mut ramp = Ramp::new(1_000, 5_000, SECOND);
         for _ in 0..200 {
-            ramp.missed(30 * MS, 0);
+            ramp.record_live_miss(30 * MS, 0);
         }
         assert_eq!(ramp.trouble(), None);
         for _ in 0..20 {
-            ramp.missed(100 * MS, SECOND);
+            ramp.record_live_miss(100 * MS, SECOND);
         }
         assert_eq!(ramp.trouble().map(|t| t.0), Some(Trouble::OriginSlow));
         // One that slows bit by bit is as slow in the end.
         let mut gradual = Ramp::new(1_000, 5_000, SECOND);
-        (0..2_000).for_each(|i| gradual.missed(30 * MS + i * MS / 20, i * MS));
+        (0..2_000).for_each(|i| gradual.record_live_miss(30 * MS + i * MS / 20, i * MS));
         assert_eq!(gradual.trouble().map(|t| t.0), Some(Trouble::OriginSlow));
-        ramp.begin(2 * SECOND);
-        (1..ROW).for_each(|_| assert!(ramp.ended(false, true, 2 * SECOND).is_none() && ramp.level() > 0));
-        ramp.ended(false, true, 2 * SECOND);
-        assert_eq!((ramp.level(), ramp.trouble().map(|t| t.0)), (0, Some(Trouble::CandidateSilent)));
+        ramp.restart(2 * SECOND);
+        (1..ROW).for_each(|_| {
+            assert!(ramp.record_copy(false, true, 2 * SECOND).is_none() && ramp.sampling_ppm() > 0)
+        });
+        ramp.record_copy(false, true, 2 * SECOND);
+        assert_eq!((ramp.sampling_ppm(), ramp.trouble().map(|t| t.0)), (0, Some(Trouble::CandidateSilent)));
     }
 
     #[test]
     fn it_stops_where_more_than_half_of_the_last_ones_failed() {
         let mut ramp = Ramp::new(1_000, 5_000, SECOND);
         let outcomes = (0..2 * WINDOW).map(|i| i % 2 == 0);
-        assert!(outcomes.clone().all(|failed| ramp.ended(true, failed, 0).is_none()), "half is no stop");
-        assert_eq!(ramp.ended(true, true, 0), None);
-        assert_eq!(ramp.ended(true, true, 0), Some(Stop::Failing { failed: FAILED + 1, of: WINDOW }));
+        assert!(
+            outcomes.clone().all(|failed| ramp.record_copy(true, failed, 0).is_none()),
+            "half is no stop"
+        );
+        assert_eq!(ramp.record_copy(true, true, 0), None);
+        assert_eq!(ramp.record_copy(true, true, 0), Some(Stop::Failing { failed: FAILED + 1, of: WINDOW }));
     }
 }
--- a/crates/shadow/src/sample.rs
+++ b/crates/shadow/src/sample.rs
@@ -6,7 +6,7 @@
 use std::hash::Hasher;
 
 /// The whole, in parts.
-pub const WHOLE: u32 = 1_000_000;
+pub const PARTS_PER_MILLION: u32 = 1_000_000;
 
 /// Whose reads are copied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 
 impl Tenants {
     /// Reads of this tenant are copied.
-    pub fn has(&self, tenant: Option<u32>) -> bool {
+    pub fn contains(&self, tenant: Option<u32>) -> bool {
         match self {
             Tenants::All => true,
             Tenants::Only(these) => tenant.is_some_and(|t| these.contains(&t)),
@@ -32,21 +32,21 @@
 }
 
 /// A key's place: the same at every proxy with this salt, and no way back to the key without it.
-pub fn place(salt: u64, key: u64) -> u64 {
+pub fn sampling_hash(salt: u64, key: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(salt, 0x7368_6164_6f77);
     hasher.write_u64(key);
     hasher.finish()
 }
 
 /// Of these million parts of the keys the place is one. Whoever is in a part is in each larger one.
-pub fn is_in(place: u64, parts: u32) -> bool {
+pub fn is_sampled(place: u64, parts: u32) -> bool {
     // Unbiased enough: the error is below one in 2^32.
-    (((place >> 32) * u64::from(WHOLE)) >> 32) < u64::from(parts)
+    (((place >> 32) * u64::from(PARTS_PER_MILLION)) >> 32) < u64::from(parts)
 }
 
 /// The candidate for a key, by its index: highest random weight (Thaler, Ravishankar 1998), so that one that comes or
 /// leaves moves no key between the others. Nothing if there is none.
-pub fn candidate(place: u64, candidates: impl Iterator<Item = u64>) -> Option<usize> {
+pub fn pick_candidate(place: u64, candidates: impl Iterator<Item = u64>) -> Option<usize> {
     let weight = |id: u64| {
         let mut hasher = SipHasher13::new_with_keys(place, id);
         hasher.write_u64(id);
@@ -61,20 +61,20 @@
 
 impl Digest {
     /// Takes in more bytes.
-    pub fn add(&mut self, bytes: &[u8]) {
+    pub fn update(&mut self, bytes: &[u8]) {
         self.0.write(bytes);
     }
 
     /// Of all bytes so far.
-    pub fn value(&self) -> u64 {
+    pub fn finish(&self) -> u64 {
         self.0.finish()
     }
 
     /// Of these bytes.
     pub fn of(bytes: &[u8]) -> u64 {
         let mut digest = Digest::default();
-        digest.add(bytes);
-        digest.value()
+        digest.update(bytes);
+        digest.finish()
     }
 }
 
@@ -84,16 +84,17 @@
 
     #[test]
     fn a_larger_part_holds_the_smaller_one_and_is_as_large_as_it_says() {
-        let places: Vec<u64> = (0..200_000).map(|key| place(9, key)).collect();
-        for parts in [0, 1_000, 10_000, 250_000, WHOLE] {
-            let share = places.iter().filter(|p| is_in(**p, parts)).count() as f64 / 200_000.0;
-            let wanted = f64::from(parts) / f64::from(WHOLE);
+        let places: Vec<u64> = (0..200_000).map(|key| sampling_hash(9, key)).collect();
+        for parts in [0, 1_000, 10_000, 250_000, PARTS_PER_MILLION] {
+            let share = places.iter().filter(|p| is_sampled(**p, parts)).count() as f64 / 200_000.0;
+            let wanted = f64::from(parts) / f64::from(PARTS_PER_MILLION);
             assert!((share - wanted).abs() <= 0.15 * wanted, "{share} for {wanted}");
             assert!(places
                 .iter()
-                .all(|p| !is_in(*p, parts) || is_in(*p, parts.saturating_mul(2).min(WHOLE))));
+                .all(|p| !is_sampled(*p, parts)
+                    || is_sampled(*p, parts.saturating_mul(2).min(PARTS_PER_MILLION))));
         }
-        assert_ne!(place(9, 1), place(10, 1), "another salt chooses other keys");
+        assert_ne!(sampling_hash(9, 1), sampling_hash(10, 1), "another salt chooses other keys");
     }
 
     #[test]
@@ -101,22 +102,22 @@
         let all = [11_u64, 12, 13, 14];
         let mut counts = [0; 4];
         for key in 0..40_000 {
-            let place = place(1, key);
-            let with = candidate(place, all.into_iter()).expect("one");
+            let place = sampling_hash(1, key);
+            let with = pick_candidate(place, all.into_iter()).expect("one");
             counts[with] += 1;
-            let without = candidate(place, all[..3].iter().copied()).expect("one");
+            let without = pick_candidate(place, all[..3].iter().copied()).expect("one");
             assert!(with == 3 || with == without);
         }
         assert!(counts.iter().all(|n| (9_000..11_000).contains(n)), "{counts:?}");
-        assert_eq!(candidate(1, std::iter::empty()), None);
+        assert_eq!(pick_candidate(1, std::iter::empty()), None);
     }
 
     #[test]
     fn a_digest_is_of_the_bytes_however_they_came() {
         let mut parts = Digest::default();
-        parts.add(b"ab");
-        parts.add(b"cde");
-        assert_eq!(parts.value(), Digest::of(b"abcde"));
-        assert_ne!(parts.value(), Digest::of(b"abcdf"));
+        parts.update(b"ab");
+        parts.update(b"cde");
+        assert_eq!(parts.finish(), Digest::of(b"abcde"));
+        assert_ne!(parts.finish(), Digest::of(b"abcdf"));
     }
 }
--- a/crates/shadow/src/verdict.rs
+++ b/crates/shadow/src/verdict.rs
@@ -17,11 +17,11 @@
 
 /// Times of one class of requests, at both sides.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct LatencyHistograms {
     /// Where both sides had the record in their caches.
-    pub warm: [Histogram<u32>; 2],
+    pub hits: [Histogram<u32>; 2],
     /// Where either had to fetch it.
-    pub cold: [Histogram<u32>; 2],
+    pub misses: [Histogram<u32>; 2],
 }
 
 fn histogram() -> Histogram<u32> {
@@ -29,25 +29,25 @@
     Histogram::new_with_bounds(1, LONGEST_US, DIGITS).expect("valid bounds")
 }
 
-impl Default for Times {
+impl Default for LatencyHistograms {
     fn default() -> Self {
-        Times { warm: [histogram(), histogram()], cold: [histogram(), histogram()] }
+        LatencyHistograms { hits: [histogram(), histogram()], misses: [histogram(), histogram()] }
     }
 }
 
-impl Times {
+impl LatencyHistograms {
     /// One copy: what the live side and the candidate took.
-    pub fn add(&mut self, warm: bool, live: Nanos, candidate: Nanos) {
-        let pair = if warm { &mut self.warm } else { &mut self.cold };
+    pub fn record(&mut self, warm: bool, live: Nanos, candidate: Nanos) {
+        let pair = if warm { &mut self.hits } else { &mut self.misses };
         for (h, took) in pair.iter_mut().zip([live, candidate]) {
             h.saturating_record((took / 1_000).clamp(1, LONGEST_US));
         }
     }
 
     /// Takes in what another proxy saw.
-    pub fn merge(&mut self, other: &Times) {
-        let ours = self.warm.iter_mut().chain(&mut self.cold);
-        for (h, more) in ours.zip(other.warm.iter().chain(&other.cold)) {
+    pub fn merge(&mut self, other: &LatencyHistograms) {
+        let ours = self.hits.iter_mut().chain(&mut self.misses);
+        for (h, more) in ours.zip(other.hits.iter().chain(&other.misses)) {
             // Danger: both have the same bounds, so nothing of it can be out of them.
             let _ = h.add(more);
         }
@@ -56,7 +56,7 @@
     /// As bytes: the four histograms in HdrHistogram's V2 form, each behind its length.
     pub fn to_bytes(&self) -> Vec<u8> {
         let (mut out, mut one) = (Vec::new(), Vec::new());
-        for h in self.warm.iter().chain(&self.cold) {
+        for h in self.hits.iter().chain(&self.misses) {
             one.clear();
             // Writing to a vector cannot fail.
             let _ = V2Serializer::new().serialize(h, &mut one);
@@ -67,15 +67,15 @@
     }
 
     /// From such bytes; nothing if they are none.
-    pub fn from_bytes(mut bytes: &[u8]) -> Option<Times> {
+    pub fn from_bytes(mut bytes: &[u8]) -> Option<LatencyHistograms> {
         let mut next = || {
             let (length, rest) = bytes.split_first_chunk::<4>()?;
             let (mut one, rest) = rest.split_at_checked(u32::from_be_bytes(*length) as usize)?;
             bytes = rest;
             Deserializer::new().deserialize::<u32, _>(&mut one).ok()
         };
-        let mut times = Times::default();
-        for h in times.warm.iter_mut().chain(&mut times.cold) {
+        let mut times = LatencyHistograms::default();
+        for h in times.hits.iter_mut().chain(&mut times.misses) {
             // Danger: another program's bounds would make sums of these fail.
             h.add(next()?).ok()?;
         }
@@ -93,7 +93,7 @@
 }
 
 /// A share, and between what it lies (Wilson, 1927).
-pub fn share(some: u64, all: u64) -> Interval {
+pub fn wilson_interval(some: u64, all: u64) -> Interval {
     if all == 0 {
         return Interval { low: 0.0, high: 1.0 };
     }
@@ -123,15 +123,17 @@
 /// What is said of a figure, or of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum Verdict {
     /// The candidate is worse by more than is tolerated.
     Worse,
     /// It is better by more than that.
     Better,
     /// It is neither.
-    Alike,
+    #[serde(rename = "alike")]
+    Equivalent,
     /// Chance may still have done it.
-    NotEnoughSeen,
+    #[serde(rename = "not-enough-seen")]
+    Inconclusive,
 }
 
 /// One quantile of one class at both sides.
@@ -140,45 +142,59 @@
     /// Of the class with this number.
     pub class: u32,
     /// Which, as 0.99.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub quantile: f64,
     /// Of this many copies.
-    pub of: u64,
+    #[serde(rename = "of")]
+    pub count: u64,
     /// At the live boxes, and at the candidates, in milliseconds.
-    pub ms: [f64; 2],
+    #[serde(rename = "ms")]
+    pub latency_ms: [f64; 2],
     /// The candidates' less the live boxes', in milliseconds.
-    pub more_ms: Interval,
+    #[serde(rename = "more_ms")]
+    pub difference_ms: Interval,
     /// What that says.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub verdict: Verdict,
 }
 
 /// What is tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tolerance {
     /// This share of answers may differ.
-    pub different: f64,
+    #[serde(rename = "different")]
+    pub difference_rate: f64,
     /// Quantiles may be longer by this part.
-    pub slower: f64,
+    #[serde(rename = "slower")]
+    pub slowdown: f64,
 }
 
 impl Default for Tolerance {
     fn default() -> Self {
-        Tolerance { different: 0.001, slower: 0.1 }
+        Tolerance { difference_rate: 0.001, slowdown: 0.1 }
     }
 }
 
 fn compared(class: u32, part: f64, pair: &[Histogram<u32>; 2], slower: f64) -> Option<Quantile> {
     let [(live, l), (candidate, c)] = [quantile(&pair[0], part)?, quantile(&pair[1], part)?];
     let word = if c.low > l.high * (1.0 + slower) {
-        Word::Worse
+        Verdict::Worse
     } else if c.high < l.low * (1.0 - slower) {
-        Word::Better
+        Verdict::Better
     } else if c.high <= l.low * (1.0 + slower) && c.low >= l.high * (1.0 - slower) {
-        Word::Alike
+        Verdict::Equivalent
     } else {
-        Word::NotEnoughSeen
+        Verdict::Inconclusive
     };
     let more_ms = Interval { low: c.low - l.high, high: c.high - l.low };
-    Some(Quantile { class, part, of: pair[0].len(), ms: [live, candidate], more_ms, word })
+    Some(Quantile {
+        class,
+        quantile: part,
+        count: pair[0].len(),
+        latency_ms: [live, candidate],
+        difference_ms: more_ms,
+        verdict: word,
+    })
 }
 
 /// A verdict, and what it rests on.
@@ -187,46 +203,51 @@
     /// What was found.
     pub tally: Tally,
     /// The share of answers that differ lies between these.
-    pub different: Interval,
+    #[serde(rename = "different")]
+    pub difference_rate: Interval,
     /// What that says. A candidate is never better by differing less.
-    pub answers: Word,
+    pub answers: Verdict,
     /// Times where both sides had the record: of classes and quantiles of which enough was seen to name them.
     pub times: Vec<Quantile>,
     /// All in all: worse if anything is, alike only if all that was seen is.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub verdict: Verdict,
 }
 
 impl Report {
     /// Judges. Times by class, in the order of their numbers.
     pub fn new<'a>(
         tally: Tally,
-        times: impl Iterator<Item = (u32, &'a Times)>,
+        times: impl Iterator<Item = (u32, &'a LatencyHistograms)>,
         tolerance: Tolerance,
     ) -> Report {
-        let different = share(tally.different(), tally.compared());
-        let answers = if different.low > tolerance.different {
-            Word::Worse
-        } else if different.high <= tolerance.different {
-            Word::Alike
+        let different = wilson_interval(tally.different(), tally.compared());
+        let answers = if different.low > tolerance.difference_rate {
+            Verdict::Worse
+        } else if different.high <= tolerance.difference_rate {
+            Verdict::Equivalent
         } else {
-            Word::NotEnoughSeen
+            Verdict::Inconclusive
         };
         let times: Vec<Quantile> = times
             .flat_map(|(class, t)| {
-                QUANTILES.into_iter().filter_map(move |q| compared(class, q, &t.warm, tolerance.slower))
+                QUANTILES.into_iter().filter_map(move |q| compared(class, q, &t.hits, tolerance.slowdown))
             })
             .collect();
-        let words = || std::iter::once(answers).chain(times.iter().map(|q| q.word));
-        let word = if words().any(|w| w == Word::Worse) {
-            Word::Worse
-        } else if answers != Word::Alike || times.is_empty() || words().any(|w| w == Word::NotEnoughSeen) {
-            Word::NotEnoughSeen
-        } else if times.iter().any(|q| q.word == Word::Better) {
-            Word::Better
+        let words = || std::iter::once(answers).chain(times.iter().map(|q| q.verdict));
+        let word = if words().any(|w| w == Verdict::Worse) {
+            Verdict::Worse
+        } else if answers != Verdict::Equivalent
+            || times.is_empty()
+            || words().any(|w| w == Verdict::Inconclusive)
+        {
+            Verdict::Inconclusive
+        } else if times.iter().any(|q| q.verdict == Verdict::Better) {
+            Verdict::Better
         } else {
-            Word::Alike
+            Verdict::Equivalent
         };
-        Report { tally, different, answers, times, word }
+        Report { tally, difference_rate: different, answers, times, verdict: word }
     }
 }
 
@@ -243,7 +264,7 @@
     /// A run of copies: some answers wrong, the slowest of the candidate's stretched.
     fn run(seed: u64, copies: u64, wrong: f64, tail: f64) -> Report {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut tally, mut times) = (Tally::default(), Times::default());
+        let (mut tally, mut times) = (Tally::default(), LatencyHistograms::default());
         for _ in 0..copies {
             if rng.f64() < wrong {
                 tally.wrong += 1;
@@ -252,13 +273,13 @@
             }
             let (live, own) = (drawn(&mut rng), drawn(&mut rng));
             let slow = if own > 30e6 * 0.5_f64.exp() { own * tail } else { own };
-            times.add(true, live as Nanos, slow as Nanos);
+            times.record(true, live as Nanos, slow as Nanos);
         }
         Report::new(tally, [(0, &times)].into_iter(), Tolerance::default())
     }
 
-    fn p99(report: &Report) -> Word {
-        report.times.iter().find(|q| q.part == 0.99).map_or(Word::NotEnoughSeen, |q| q.word)
+    fn p99(report: &Report) -> Verdict {
+        report.times.iter().find(|q| q.quantile == 0.99).map_or(Verdict::Inconclusive, |q| q.verdict)
     }
 
     #[test]
@@ -268,12 +289,12 @@
         let count = |wrong, tail, is: fn(&Report) -> bool| {
             (0..RUNS).filter(|seed| is(&run(*seed, COPIES, wrong, tail))).count()
         };
-        let blamed = |r: &Report| r.word == Word::Worse || r.word == Word::Better;
+        let blamed = |r: &Report| r.verdict == Verdict::Worse || r.verdict == Verdict::Better;
         let found = [
-            count(0.01, 1.0, |r| r.answers == Word::Worse),
-            count(0.0, 1.2, |r| p99(r) == Word::Worse),
+            count(0.01, 1.0, |r| r.answers == Verdict::Worse),
+            count(0.0, 1.2, |r| p99(r) == Verdict::Worse),
             count(0.0, 1.0, blamed),
-            count(0.0, 1.0, |r| p99(r) == Word::Alike),
+            count(0.0, 1.0, |r| p99(r) == Verdict::Equivalent),
         ];
         println!(
             "of {RUNS}: wrong found {}, slow found {}, equal blamed {}, alike {}",
@@ -289,11 +310,11 @@
     fn little_says_nothing() {
         for copies in [0, 1, 50, 500] {
             let r = run(1, copies, 0.0, 1.0);
-            assert_eq!((r.word, p99(&r)), (Word::NotEnoughSeen, Word::NotEnoughSeen), "{copies}");
+            assert_eq!((r.verdict, p99(&r)), (Verdict::Inconclusive, Verdict::Inconclusive), "{copies}");
         }
-        let half = share(1, 2);
+        let half = wilson_interval(1, 2);
         assert!(half.low < 0.1 && half.high > 0.9, "{half:?}");
-        assert_eq!(share(0, 0), Interval { low: 0.0, high: 1.0 });
+        assert_eq!(wilson_interval(0, 0), Interval { low: 0.0, high: 1.0 });
     }
 
     #[test]
@@ -301,7 +322,7 @@
         let mut rng = fastrand::Rng::with_seed(3);
         let held = (0..1_000).filter(|_| {
             let some = (0..400).filter(|_| rng.f64() < 0.03).count() as u64;
-            let i = share(some, 400);
+            let i = wilson_interval(some, 400);
             i.low <= 0.03 && 0.03 <= i.high
         });
         assert!((930..=985).contains(&held.count()));
@@ -309,17 +330,17 @@
 
     #[test]
     fn times_of_several_proxies_add_up_also_over_bytes() {
-        let (mut one, mut two) = (Times::default(), Times::default());
-        (1..=100).for_each(|ms| one.add(true, ms * crate::MS, 2 * ms * crate::MS));
-        (1..=100).for_each(|ms| two.add(false, ms * crate::MS, u64::MAX));
-        one.merge(&Times::from_bytes(&two.to_bytes()).expect("times"));
-        assert_eq!(one.warm.clone().map(|h| h.len()), [100, 100]);
-        assert_eq!(one.cold.clone().map(|h| h.len()), [100, 100]);
-        assert!(one.cold[1].max() >= LONGEST_US - LONGEST_US / 50);
+        let (mut one, mut two) = (LatencyHistograms::default(), LatencyHistograms::default());
+        (1..=100).for_each(|ms| one.record(true, ms * crate::MS, 2 * ms * crate::MS));
+        (1..=100).for_each(|ms| two.record(false, ms * crate::MS, u64::MAX));
+        one.merge(&LatencyHistograms::from_bytes(&two.to_bytes()).expect("times"));
+        assert_eq!(one.hits.clone().map(|h| h.len()), [100, 100]);
+        assert_eq!(one.misses.clone().map(|h| h.len()), [100, 100]);
+        assert!(one.misses[1].max() >= LONGEST_US - LONGEST_US / 50);
         let bytes = one.to_bytes();
         assert!(bytes.len() < 8 << 10, "{}", bytes.len());
         for cut in 0..bytes.len() {
-            assert!(Times::from_bytes(&bytes[..cut]).is_none(), "cut at {cut}");
+            assert!(LatencyHistograms::from_bytes(&bytes[..cut]).is_none(), "cut at {cut}");
         }
     }
 }
--- a/crates/shadow/tests/machine.rs
+++ b/crates/shadow/tests/machine.rs
@@ -1,8 +1,8 @@
 //! Shadow traffic as a whole: what may be copied, what that costs at the most, and when it ends.
 
 use proptest::prelude::*;
-use shadow::budget::most_in_a_second;
-use shadow::sample::{Tenants, WHOLE};
+use shadow::budget::max_in_any_second;
+use shadow::sample::{Tenants, PARTS_PER_MILLION};
 use shadow::verdict::Tolerance;
 use shadow::*;
 use std::collections::{BTreeMap, HashSet};
@@ -18,40 +18,51 @@
         classes: vec![true, false, false],
         tenants: Tenants::All,
         salt: 1,
-        parts: [WHOLE, WHOLE],
-        step: SECOND,
-        copies: 10_000,
-        open: 1_000,
-        bytes: [64 << 10, 256 << 20],
-        cpu: 1.0,
-        misses: 20_000,
-        proxies: [1, 0],
-        deadline: DEADLINE,
+        initial_sampling_ppm: PARTS_PER_MILLION,
+        max_sampling_ppm: PARTS_PER_MILLION,
+        ramp_step: SECOND,
+        copies_per_second: 10_000,
+        max_open_copies: 1_000,
+        max_value_bytes: 64 << 10,
+        max_held_bytes: 256 << 20,
+        max_cpu_share: 1.0,
+        misses_per_second: 20_000,
+        proxy_count: 1,
+        proxy_index: 0,
+        copy_timeout: DEADLINE,
         tolerance: Tolerance::default(),
-        stop_different: 0.05,
-        samples: 0,
+        stop_difference_rate: 0.05,
+        max_samples: 0,
     }
 }
 
 /// One that copies to these candidates; the time at which it does.
 fn started(settings: Settings, candidates: &[u64]) -> (Shadow, Nanos) {
-    let mut shadow = Shadow::new(settings, Kept::default(), 0);
+    let mut shadow = Shadow::new(settings, PersistedState::default(), 0);
     assert_eq!(shadow.start(1, LEASE, 0), Ok(()));
-    assert!(shadow.candidates(candidates.to_vec(), 0).is_empty());
+    assert!(shadow.set_candidates(candidates.to_vec(), 0).is_empty());
     (shadow, 2 * SECOND)
 }
 
 fn read(key: u64, value: u64) -> Read {
-    let live = Side::Value(value);
-    Read { class: 0, tenant: None, key, live, length: 100, hit: Some(true), took: Some(20 * MS) }
+    let live = ReadOutcome::Value(value);
+    Read {
+        class: 0,
+        tenant: None,
+        key,
+        outcome: live,
+        value_bytes: 100,
+        hit: Some(true),
+        latency: Some(20 * MS),
+    }
 }
 
-fn had(value: u64, hit: bool) -> Ended {
-    Ended { side: Side::Value(value), hit: Some(hit), took: 20 * MS }
+fn had(value: u64, hit: bool) -> CopyResult {
+    CopyResult { outcome: ReadOutcome::Value(value), hit: Some(hit), latency: 20 * MS }
 }
 
-fn dropped(shadow: &Shadow, cause: Cause) -> u64 {
-    shadow.status().counts.dropped[cause as usize]
+fn dropped(shadow: &Shadow, cause: SkipReason) -> u64 {
+    shadow.status().counts.skipped[cause as usize]
 }
 
 #[test]
@@ -67,17 +78,17 @@
             let tenant = rng.bool().then(|| rng.u32(0..8));
             let wanted = class == 0 && tenant.map_or(all, |t| t == 2 || t == 5);
             let read = Read { class, tenant, ..read(rng.u64(..), 1) };
-            assert!(wanted || !shadow.wants(class, tenant, read.key));
-            if let Some(copy) = shadow.read(&read, at) {
+            assert!(wanted || !shadow.is_wanted(class, tenant, read.key));
+            if let Some(copy) = shadow.offer_read(&read, at) {
                 assert!(wanted, "class {class} of tenant {tenant:?}");
-                shadow.ended(copy.number, had(1, true), at);
+                shadow.copy_ended(copy.number, had(1, true), at);
                 copied += 1;
             }
         }
         assert!(copied > 30_000, "{copied}");
         let counts = shadow.status().counts;
         assert_eq!(
-            counts.dropped.iter().sum::<u64>() + counts.copies,
+            counts.skipped.iter().sum::<u64>() + counts.copies,
             counts.reads,
             "each is counted by cause"
         );
@@ -86,96 +97,104 @@
 
 #[test]
 fn nothing_is_copied_before_it_is_started_after_its_lease_and_after_a_stop() {
-    let mut shadow = Shadow::new(settings(), Kept::default(), 0);
+    let mut shadow = Shadow::new(settings(), PersistedState::default(), 0);
     let now = 2 * SECOND;
-    shadow.candidates(vec![9], 0);
-    assert_eq!((shadow.read(&read(1, 1), now), shadow.wants(0, None, 1)), (None, false));
+    shadow.set_candidates(vec![9], 0);
+    assert_eq!((shadow.offer_read(&read(1, 1), now), shadow.is_wanted(0, None, 1)), (None, false));
     shadow.start(4, 10 * SECOND, now).expect("started");
-    assert_eq!(shadow.start(3, LEASE, now), Err(Refused::Stale(4)));
-    let first = shadow.read(&read(1, 1), now).expect("a copy");
+    assert_eq!(shadow.start(3, LEASE, now), Err(CommandError::Stale(4)));
+    let first = shadow.offer_read(&read(1, 1), now).expect("a copy");
     // Renewed, it goes on; else it ends by itself, and what is open is called off.
     shadow.start(4, 20 * SECOND, now).expect("renewed");
-    assert!(shadow.look(&Vitals::default(), now + 19 * SECOND).is_empty());
-    assert!(shadow.read(&read(2, 1), now + 20 * SECOND).is_none(), "also before anybody looks");
-    assert_eq!(shadow.look(&Vitals::default(), now + 20 * SECOND), [first.number]);
+    assert!(shadow.update_load(&LiveLoad::default(), now + 19 * SECOND).is_empty());
+    assert!(shadow.offer_read(&read(2, 1), now + 20 * SECOND).is_none(), "also before anybody looks");
+    assert_eq!(shadow.update_load(&LiveLoad::default(), now + 20 * SECOND), [first.number]);
     assert_eq!(shadow.status().state, State::Stopped(Stop::Lease));
-    assert_eq!(shadow.start(4, LEASE, now), Err(Refused::Stopped(Stop::Lease)));
+    assert_eq!(shadow.start(4, LEASE, now), Err(CommandError::Stopped(Stop::Lease)));
     shadow.start(5, LEASE, now).expect("a new order");
-    let open = shadow.read(&read(3, 1), now + 21 * SECOND).expect("a copy");
-    assert_eq!(shadow.stop(4, now), Err(Refused::Stale(5)));
+    let open = shadow.offer_read(&read(3, 1), now + 21 * SECOND).expect("a copy");
+    assert_eq!(shadow.stop(4, now), Err(CommandError::Stale(5)));
     assert_eq!(shadow.stop(6, now), Ok(vec![open.number]));
-    assert!(shadow.read(&read(4, 1), now + 22 * SECOND).is_none());
+    assert!(shadow.offer_read(&read(4, 1), now + 22 * SECOND).is_none());
     // The next process holds to it.
-    let mut next = Shadow::new(settings(), shadow.kept(), 0);
+    let mut next = Shadow::new(settings(), shadow.persisted_state(), 0);
     assert_eq!(next.status().state, State::Stopped(Stop::Asked));
-    assert_eq!(next.start(6, LEASE, 0), Err(Refused::Stopped(Stop::Asked)));
+    assert_eq!(next.start(6, LEASE, 0), Err(CommandError::Stopped(Stop::Asked)));
     assert_eq!(next.start(7, LEASE, 0), Ok(()));
-    next.candidates(vec![9], 0);
+    next.set_candidates(vec![9], 0);
     assert!(
-        next.read(&read(1, 1), DEADLINE).is_none(),
+        next.offer_read(&read(1, 1), DEADLINE).is_none(),
         "copies of the process before may still be under way"
     );
-    assert_eq!(dropped(&next, Cause::Fresh), 1);
-    assert!(next.read(&read(1, 1), DEADLINE + SECOND).is_some());
+    assert_eq!(dropped(&next, SkipReason::RecentRestart), 1);
+    assert!(next.offer_read(&read(1, 1), DEADLINE + SECOND).is_some());
 }
 
 #[test]
 fn copies_to_a_candidate_that_leaves_are_called_off_and_others_are_not() {
     let (mut shadow, now) = started(settings(), &[7, 8]);
-    assert!((0..100).all(|key| shadow.read(&read(key, 1), now).is_some()));
-    let off = shadow.candidates(vec![8], now);
+    assert!((0..100).all(|key| shadow.offer_read(&read(key, 1), now).is_some()));
+    let off = shadow.set_candidates(vec![8], now);
     assert!((30..70).contains(&off.len()), "{}", off.len());
-    assert_eq!(shadow.status().open, 100 - off.len());
-    assert!((100..200).all(|key| shadow.read(&read(key, 1), now).is_some_and(|c| c.candidate == 8)));
+    assert_eq!(shadow.status().open_copies, 100 - off.len());
+    assert!((100..200).all(|key| shadow.offer_read(&read(key, 1), now).is_some_and(|c| c.candidate == 8)));
     // An answer to one that was called off is nobody's.
-    shadow.ended(off[0], had(2, true), now);
+    shadow.copy_ended(off[0], had(2, true), now);
     assert_eq!(shadow.report().tally, Tally::default());
-    assert_eq!(shadow.candidates(Vec::new(), now).len(), 200 - off.len());
-    assert!(shadow.read(&read(500, 1), now).is_none());
-    assert_eq!(dropped(&shadow, Cause::NoCandidate), 1);
+    assert_eq!(shadow.set_candidates(Vec::new(), now).len(), 200 - off.len());
+    assert!(shadow.offer_read(&read(500, 1), now).is_none());
+    assert_eq!(dropped(&shadow, SkipReason::NoCandidate), 1);
 }
 
 #[test]
 fn a_candidate_that_is_slow_piles_up_no_more_than_is_allowed_and_a_silent_one_is_left_alone() {
-    let narrow = Settings { open: 10, bytes: [64 << 10, 8 * (64 << 10)], step: 10 * SECOND, ..settings() };
+    let narrow = Settings {
+        max_open_copies: 10,
+        max_value_bytes: 64 << 10,
+        max_held_bytes: 8 * (64 << 10),
+        ramp_step: 10 * SECOND,
+        ..settings()
+    };
     let (mut shadow, mut now) = started(narrow, &[9]);
     let mut open: Vec<u64> = Vec::new();
     for key in 0..20_u64 {
-        open.extend(shadow.read(&read(key, 1), now).map(|c| c.number));
+        open.extend(shadow.offer_read(&read(key, 1), now).map(|c| c.number));
     }
-    assert_eq!((open.len(), dropped(&shadow, Cause::Held)), (8, 12));
-    assert!(shadow.read(&Read { length: (64 << 10) + 1, ..read(99, 1) }, now).is_none());
-    assert_eq!(dropped(&shadow, Cause::Long), 1);
+    assert_eq!((open.len(), dropped(&shadow, SkipReason::HeldBytesLimit)), (8, 12));
+    assert!(shadow.offer_read(&Read { value_bytes: (64 << 10) + 1, ..read(99, 1) }, now).is_none());
+    assert_eq!(dropped(&shadow, SkipReason::ValueTooLong), 1);
     now += DEADLINE;
-    let late = Ended { side: Side::Late, hit: None, took: DEADLINE };
-    open.into_iter().for_each(|n| assert!(shadow.ended(n, late, now).is_empty()));
-    assert_eq!(shadow.status().parts, 0);
+    let late = CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: DEADLINE };
+    open.into_iter().for_each(|n| assert!(shadow.copy_ended(n, late, now).is_empty()));
+    assert_eq!(shadow.status().sampling_ppm, 0);
     assert_eq!(shadow.status().trouble, Some((Trouble::CandidateSilent, 0)));
-    assert!(shadow.read(&read(50, 1), now).is_none());
+    assert!(shadow.offer_read(&read(50, 1), now).is_none());
     // It is tried again, and stops for good where that goes on.
     for round in 1..20 {
         now += 10 * SECOND;
-        shadow.look(&Vitals { room: 100, ..Vitals::default() }, now);
-        let tried: Vec<u64> =
-            (0..8).filter_map(|key| shadow.read(&read(round * 8 + key, 1), now)).map(|c| c.number).collect();
-        tried.into_iter().for_each(|n| drop(shadow.ended(n, late, now + DEADLINE)));
+        shadow.update_load(&LiveLoad { max_open: 100, ..LiveLoad::default() }, now);
+        let tried: Vec<u64> = (0..8)
+            .filter_map(|key| shadow.offer_read(&read(round * 8 + key, 1), now))
+            .map(|c| c.number)
+            .collect();
+        tried.into_iter().for_each(|n| drop(shadow.copy_ended(n, late, now + DEADLINE)));
     }
     assert_eq!(shadow.status().state, State::Stopped(Stop::Failing { failed: 64, of: 64 }));
-    assert_eq!(shadow.report().tally.late, 64);
+    assert_eq!(shadow.report().tally.timed_out, 64);
 }
 
 #[test]
 fn a_write_to_a_copied_key_and_a_live_change_cross_the_copy() {
     let (mut shadow, now) = started(settings(), &[9]);
     let copies: Vec<u64> =
-        (0..3).map(|key| shadow.read(&read(key, 1), now).expect("a copy").number).collect();
-    shadow.wrote(0);
+        (0..3).map(|key| shadow.offer_read(&read(key, 1), now).expect("a copy").number).collect();
+    shadow.note_write(0);
     // The same key is not copied twice at once, but its new value is seen.
-    assert!(shadow.read(&read(1, 2), now).is_none());
-    assert_eq!(dropped(&shadow, Cause::Twice), 1);
-    copies.into_iter().for_each(|n| assert!(shadow.ended(n, had(7, true), now).is_empty()));
+    assert!(shadow.offer_read(&read(1, 2), now).is_none());
+    assert_eq!(dropped(&shadow, SkipReason::AlreadyOpen), 1);
+    copies.into_iter().for_each(|n| assert!(shadow.copy_ended(n, had(7, true), now).is_empty()));
     let tally = shadow.report().tally;
-    assert_eq!((tally.crossed, tally.compared(), shadow.status().doubts), (2, 0, 1));
+    assert_eq!((tally.raced, tally.compared(), shadow.status().pending_differences), (2, 0, 1));
 }
 
 #[test]
@@ -184,16 +203,16 @@
     let mut stopped = None;
     for i in 0..2_000_u64 {
         now += 10 * MS;
-        let open = shadow.read(&read(1_000_000 + i, 1), now).expect("a copy").number;
-        let copy = shadow.read(&read(i % 50, 1), now).expect("a copy");
+        let open = shadow.offer_read(&read(1_000_000 + i, 1), now).expect("a copy").number;
+        let copy = shadow.offer_read(&read(i % 50, 1), now).expect("a copy");
         let wrong = (i % 50) < 10;
-        let off = shadow.ended(copy.number, had(if wrong { 2 } else { 1 }, true), now);
+        let off = shadow.copy_ended(copy.number, had(if wrong { 2 } else { 1 }, true), now);
         if !off.is_empty() {
             assert!(off.contains(&open));
             stopped = Some(i);
             break;
         }
-        shadow.ended(open, had(1, true), now);
+        shadow.copy_ended(open, had(1, true), now);
     }
     let stopped = stopped.expect("a stop");
     assert!((50..1_000).contains(&stopped), "after {stopped}");
@@ -201,21 +220,22 @@
         panic!("not stopped")
     };
     assert!(different * 20 > of && of >= 100, "{different} of {of}");
-    assert_eq!(shadow.report().answers, Word::Worse);
+    assert_eq!(shadow.report().answers, Verdict::Worse);
 }
 
 #[test]
 fn keys_are_kept_only_where_they_are_wanted_and_no_more_than_that() {
     for samples in [0, 1, 3] {
-        let (mut shadow, now) = started(Settings { samples, stop_different: 1.0, ..settings() }, &[9]);
+        let (mut shadow, now) =
+            started(Settings { max_samples: samples, stop_difference_rate: 1.0, ..settings() }, &[9]);
         for _ in 0..2 {
             for key in 0..5 {
-                let copy = shadow.read(&read(key, 1), now).expect("a copy");
-                shadow.ended(copy.number, had(2, true), now);
+                let copy = shadow.offer_read(&read(key, 1), now).expect("a copy");
+                shadow.copy_ended(copy.number, had(2, true), now);
             }
         }
         assert_eq!(shadow.report().tally.wrong, 5);
-        let kept: Vec<(u64, Difference)> = shadow.samples().map(|s| (s.key, s.how)).collect();
+        let kept: Vec<(u64, Difference)> = shadow.samples().map(|s| (s.key, s.difference)).collect();
         let latest = [4, 3, 2].map(|key| (key, Difference::Wrong));
         assert_eq!(kept, latest[..samples]);
     }
@@ -263,9 +283,7 @@
         open in 1_usize..12,
         misses in 2_u32..30,
     ) {
-        let bytes = [1_000, 7_500];
-        let cpu = 0.1;
-        let narrow = Settings { copies, open, misses, bytes, cpu, stop_different: 1.0, ..settings() };
+        let narrow = Settings { copies_per_second: copies, max_open_copies: open, misses_per_second: misses, max_value_bytes: 1_000, max_held_bytes: 7_500, max_cpu_share: 0.1, stop_difference_rate: 1.0, ..settings() };
         let (mut shadow, mut now) = started(narrow, &[1, 2]);
         let (mut out, mut sent, mut fetched) = (BTreeMap::new(), Vec::new(), Vec::new());
         let mut worked: Vec<(Nanos, Nanos)> = Vec::new();
@@ -274,15 +292,15 @@
             let up: Vec<u64> = out.iter().filter(|(_, until)| **until <= now).map(|(n, _)| *n).collect();
             for number in up {
                 let until = out.remove(&number).expect("open");
-                shadow.ended(number, Ended { side: Side::Late, hit: None, took: DEADLINE }, now);
+                shadow.copy_ended(number, CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: DEADLINE }, now);
                 fetched.push(until);
             }
             match step {
                 Step::Read { key, value } => {
                     let real: Nanos = worked.iter().filter(|(at, _)| at + SECOND > now).map(|(_, u)| u).sum();
-                    if let Some(copy) = shadow.read(&read(key, value), now) {
+                    if let Some(copy) = shadow.offer_read(&read(key, value), now) {
                         prop_assert!(real < SECOND / 10, "{real} ns in the last second");
-                        prop_assert!(out.insert(copy.number, copy.until).is_none());
+                        prop_assert!(out.insert(copy.number, copy.deadline).is_none());
                         sent.push(now);
                     }
                 }
@@ -290,15 +308,15 @@
                     let Some(number) = out.keys().nth(which % out.len().max(1)).copied() else { continue };
                     let until = out.remove(&number).expect("open");
                     match how % 4 {
-                        0 => drop(shadow.ended(number, had(1, true), now)),
+                        0 => drop(shadow.copy_ended(number, had(1, true), now)),
                         1 => {
-                            shadow.ended(number, had(2, false), now);
+                            shadow.copy_ended(number, had(2, false), now);
                             fetched.push(now);
                         }
                         // Its connection ended; the candidate may have begun whenever its time allows.
                         how => {
-                            let side = if how == 2 { Side::Error } else { Side::Busy };
-                            shadow.ended(number, Ended { side, hit: None, took: 0 }, now);
+                            let side = if how == 2 { ReadOutcome::Error } else { ReadOutcome::Busy };
+                            shadow.copy_ended(number, CopyResult { outcome: side, hit: None, latency: 0 }, now);
                             fetched.push(until);
                         }
                     }
@@ -307,29 +325,29 @@
                 Step::Back(ms) => {
                     let told = now.saturating_sub(ms * MS);
                     for at in [now, told] {
-                        shadow.look(&Vitals { room: 9, ..Vitals::default() }, at);
+                        shadow.update_load(&LiveLoad { max_open: 9, ..LiveLoad::default() }, at);
                     }
-                    if let Some(copy) = shadow.read(&read(1_000 + ms, 1), told) {
-                        out.insert(copy.number, copy.until);
+                    if let Some(copy) = shadow.offer_read(&read(1_000 + ms, 1), told) {
+                        out.insert(copy.number, copy.deadline);
                         sent.push(now);
                     }
                 }
                 Step::Work(ms) => {
-                    shadow.worked(ms * MS, now);
+                    shadow.record_cpu_time(ms * MS, now);
                     worked.push((now, ms * MS));
                 }
                 Step::Candidates(n) => {
-                    for number in shadow.candidates((0..u64::from(n)).collect(), now) {
+                    for number in shadow.set_candidates((0..u64::from(n)).collect(), now) {
                         fetched.push(out.remove(&number).expect("open"));
                     }
                 }
-                Step::Proxies(n) => shadow.proxies(n, 0),
+                Step::Proxies(n) => shadow.set_proxies(n, 0),
             }
             prop_assert!(out.len() <= open && out.len() <= 7);
-            prop_assert_eq!(shadow.status().open, out.len());
+            prop_assert_eq!(shadow.status().open_copies, out.len());
         }
-        prop_assert!(most_in_a_second(sent) <= copies);
-        prop_assert!(most_in_a_second(fetched) <= misses as usize);
+        prop_assert!(max_in_any_second(sent) <= copies);
+        prop_assert!(max_in_any_second(fetched) <= misses as usize);
     }
 }
 
@@ -337,10 +355,14 @@
 /// candidate made, each at the origin's own time.
 fn cold(proxies: u32, misses: u32, wrong: Option<u32>, returning: bool) -> Vec<Nanos> {
     let make = |i: u32, now: Nanos| {
-        let told = if Some(i) == wrong { [1, 0] } else { [proxies, i] };
-        let mut shadow = Shadow::new(Settings { misses, proxies: told, ..settings() }, Kept::default(), now);
+        let (proxy_count, proxy_index) = if Some(i) == wrong { (1, 0) } else { (proxies, i) };
+        let mut shadow = Shadow::new(
+            Settings { misses_per_second: misses, proxy_count, proxy_index, ..settings() },
+            PersistedState::default(),
+            now,
+        );
         shadow.start(1, LEASE, now).expect("started");
-        shadow.candidates(vec![9], now);
+        shadow.set_candidates(vec![9], now);
         shadow
     };
     let mut all: Vec<Shadow> = (0..proxies).map(|i| make(i, 0)).collect();
@@ -355,13 +377,13 @@
         let done: Vec<_> = ends.range(..(now, 0, 0)).map(|(k, v)| (*k, *v)).collect();
         for ((at, i, number), hit) in done {
             ends.remove(&(at, i, number));
-            all[i as usize].ended(number, had(1, hit), at);
+            all[i as usize].copy_ended(number, had(1, hit), at);
         }
         // The first has far more than its part of the reads.
         let reads = |i: u32| if i == 0 { 20 } else { (100 / proxies).max(1) };
         for i in (0..proxies).flat_map(|i| (0..reads(i)).map(move |_| i)) {
             let key = (10_000.0 * rng.f64() * rng.f64() * rng.f64()) as u64;
-            if let Some(copy) = all[i as usize].read(&read(key, 1), now) {
+            if let Some(copy) = all[i as usize].offer_read(&read(key, 1), now) {
                 // Under its cold load the candidate answers between 10 ms and what its time allows.
                 let hit = !cached.insert(key);
                 let took = if hit { 10 * MS } else { rng.u64(30..250) * MS };
@@ -381,11 +403,11 @@
     for proxies in [1, 10, 100] {
         for (wrong, returning) in [(None, false), (Some(0), false), (None, true), (Some(0), true)] {
             let fetched = cold(proxies, BUDGET, wrong, returning);
-            let most = most_in_a_second(fetched);
+            let most = max_in_any_second(fetched);
             println!("{proxies} proxies, wrong {wrong:?}, returning {returning}: {most} fetches in a second");
             assert!(most <= BUDGET as usize, "{proxies} proxies: {most}");
         }
     }
     // The budget is what holds them: without one there are more.
-    assert!(most_in_a_second(cold(100, 1_000_000, None, false)) > 2 * BUDGET as usize);
+    assert!(max_in_any_second(cold(100, 1_000_000, None, false)) > 2 * BUDGET as usize);
 }
