--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -7,9 +7,9 @@
 use control::message::ShadowStatus;
 use hyper::Method;
 use serde_json::{json, Value};
-use shadow::promote::{steps, ColdRule, Step};
-use shadow::verdict::{Quantile, Times, Tolerance};
-use shadow::{Report, State, Tally, Word};
+use shadow::promote::{self, SlowStart, Step};
+use shadow::verdict::{LatencyHistograms, Quantile, Tolerance};
+use shadow::{Report, State, Tally, Verdict};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -46,10 +46,10 @@
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
         /// Fraction of answers that may differ.
-        #[arg(long, default_value_t = Tolerance::default().different)]
+        #[arg(long, default_value_t = Tolerance::default().difference_rate)]
         tolerated_different: f64,
         /// Fraction by which latency quantiles may be longer.
-        #[arg(long, default_value_t = Tolerance::default().slower)]
+        #[arg(long, default_value_t = Tolerance::default().slowdown)]
         tolerated_slower: f64,
     },
     /// Print the steps for bringing the candidates into service. Only discovery can carry them out.
@@ -151,11 +151,11 @@
                 status.name,
                 state_text(copying),
                 s.generation,
-                f64::from(s.parts) / 1e4,
+                f64::from(s.sampling_ppm) / 1e4,
                 s.candidates,
                 s.counts.copies,
-                s.open,
-                verdict_text(copying.report.word),
+                s.open_copies,
+                verdict_text(copying.report.verdict),
             )
         }
         Err(reason) => format!("{}: {reason}", status.name),
@@ -172,22 +172,22 @@
     }
 }
 
-fn verdict_text(word: Word) -> &'static str {
+fn verdict_text(word: Verdict) -> &'static str {
     match word {
-        Word::Worse => "worse",
-        Word::Better => "better",
-        Word::Alike => "alike",
-        Word::NotEnoughSeen => "not enough seen",
+        Verdict::Worse => "worse",
+        Verdict::Better => "better",
+        Verdict::Equivalent => "alike",
+        Verdict::Inconclusive => "not enough seen",
     }
 }
 
 /// Merges the results of all instances. Also returns the names of the classes, in the order of their numbers in the report.
 fn merge_reports(statuses: &[InstanceStatus], tolerance: Tolerance) -> (Report, Vec<String>) {
-    let (mut tally, mut times) = (Tally::default(), BTreeMap::<String, Times>::new());
+    let (mut tally, mut times) = (Tally::default(), BTreeMap::<String, LatencyHistograms>::new());
     for copying in statuses.iter().filter_map(|s| s.copying.as_ref().ok()) {
-        tally.add(&copying.report.tally);
+        tally.merge(&copying.report.tally);
         for (class, text) in &copying.times {
-            match BASE64_STANDARD.decode(text).ok().and_then(|bytes| Times::from_bytes(&bytes)) {
+            match BASE64_STANDARD.decode(text).ok().and_then(|bytes| LatencyHistograms::from_bytes(&bytes)) {
                 Some(t) => times.entry(class.clone()).or_default().merge(&t),
                 None => eprintln!("trestlectl: latency histogram of {class} can't be decoded and is ignored"),
             }
@@ -200,11 +200,11 @@
 fn quantile_cells(q: &Quantile, classes: &[String]) -> [String; 6] {
     [
         classes.get(q.class as usize).cloned().unwrap_or_default(),
-        format!("p{}", q.part * 100.0),
-        format!("{:.2}", q.ms[0]),
-        format!("{:.2}", q.ms[1]),
-        format!("{:+.2} to {:+.2}", q.more_ms.low, q.more_ms.high),
-        format!("{} of {}", verdict_text(q.word), q.of),
+        format!("p{}", q.quantile * 100.0),
+        format!("{:.2}", q.latency_ms[0]),
+        format!("{:.2}", q.latency_ms[1]),
+        format!("{:+.2} to {:+.2}", q.difference_ms.low, q.difference_ms.high),
+        format!("{} of {}", verdict_text(q.verdict), q.count),
     ]
 }
 
@@ -216,13 +216,13 @@
 
 /// The confidence interval of the share of different answers, their number, and the verdict.
 fn difference_text(report: &Report) -> String {
-    let Report { different, tally, .. } = report;
+    let Report { difference_rate: different, tally, .. } = report;
     let (low, high) = (different.low * 100.0, different.high * 100.0);
     format!("{low:.4}% to {high:.4}% of {}, {}", tally.compared(), verdict_text(report.answers))
 }
 
 fn report_text(report: &Report, classes: &[String], instances: usize) -> String {
-    let mut out = format!("{}, by copies at {instances} instances\n", verdict_text(report.word));
+    let mut out = format!("{}, by copies at {instances} instances\n", verdict_text(report.verdict));
     let answers: Vec<String> =
         tally_counts(&report.tally).iter().map(|(name, n)| format!("{name} {n}")).collect();
     // Writing to a string cannot fail.
@@ -257,7 +257,7 @@
         <style>body{font:16px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:left}\
         table{border-collapse:collapse}tr{border-bottom:1px solid #ccc}</style>\n"
         .to_owned();
-    let _ = writeln!(out, "<h1>The candidates: {}</h1>", verdict_text(report.word));
+    let _ = writeln!(out, "<h1>The candidates: {}</h1>", verdict_text(report.verdict));
     let _ = writeln!(out, "<p>Different answers (95%): {}.</p>", difference_text(report));
     out += &html_table(
         &["answers", "copies"],
@@ -292,11 +292,11 @@
     if live == 0 {
         return Err("the configuration has no live boxes; use one that a proxy was started with".into());
     }
-    let rule = ColdRule {
-        from: config.settings.slow_start_initial_fraction,
-        span: config.settings.slow_start_duration,
+    let rule = SlowStart {
+        initial_fraction: config.settings.slow_start_initial_fraction,
+        duration: config.settings.slow_start_duration,
     };
-    Ok((steps(rule, live, candidates as usize, count as usize), live))
+    Ok((promote::promotion_steps(rule, live, candidates as usize, count as usize), live))
 }
 
 /// Executes a subcommand.
@@ -326,7 +326,7 @@
         Command::Report { html, tolerated_different, tolerated_slower } => {
             let (statuses, complete) =
                 send_command(agents, all_instances, &json!({"op": "status"}), output).await;
-            let tolerance = Tolerance { different: *tolerated_different, slower: *tolerated_slower };
+            let tolerance = Tolerance { difference_rate: *tolerated_different, slowdown: *tolerated_slower };
             let (report, classes) = merge_reports(&statuses, tolerance);
             let answered = statuses.iter().filter(|s| s.copying.is_ok()).count();
             statuses
@@ -354,12 +354,13 @@
                     return Exit::Failed;
                 }
             };
-            let is_good_enough = matches!(report.word, Word::Alike | Word::Better);
-            let value = json!({"word": report.word, "live": live, "candidates": candidates, "steps": plan});
+            let is_good_enough = matches!(report.verdict, Verdict::Equivalent | Verdict::Better);
+            let value =
+                json!({"word": report.verdict, "live": live, "candidates": candidates, "steps": plan});
             output.print(&value, || {
                 let mut out = format!(
                     "the candidates are {}; {candidates} beside {live} live boxes\n",
-                    verdict_text(report.word)
+                    verdict_text(report.verdict)
                 );
                 for s in &plan {
                     let _ = writeln!(
@@ -367,8 +368,8 @@
                         "after {:6.1} s: weight {:.3}, {:.3}% of the keys each, {:.3}% in all",
                         s.at_seconds,
                         s.weight,
-                        s.each * 100.0,
-                        s.all * 100.0
+                        s.share_each * 100.0,
+                        s.share_all * 100.0
                     );
                 }
                 out.trim_end().to_owned()
@@ -376,7 +377,7 @@
             if !is_good_enough && !force {
                 eprintln!(
                     "trestlectl: the copies don't show that they are good enough: {}",
-                    verdict_text(report.word)
+                    verdict_text(report.verdict)
                 );
                 return Exit::Failed;
             }
