--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -1,126 +1,127 @@
-//! What a proxy has been told: lists that are pushed and asked for, and the ways in which news can be missed.
+//! Freshness of the host list: pushed and polled lists, and the failures that can delay or lose an update.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 use testkit::scripted::*;
 
-/// A proxy before two boxes, s-0 and s-1, that knows both as up, and a discovery whose lists are pushed or asked for.
-fn before(nodes: &Server, discovery: &Server, mode: &str) -> Proxy {
+/// Starts a proxy that knows both cache nodes, s-0 and s-1, as up, with discovery in the given mode.
+fn start_proxy(nodes: &Server, discovery: &Server, mode: &str) -> Proxy {
     Proxy::with(nodes, |c| {
         subscribed(c, discovery);
         c["settings"]["discovery"] = json!(mode);
     })
 }
 
-/// Both boxes, the second of them leaving.
-fn leaving(nodes: &Server) -> Vec<Value> {
+/// Lists both nodes, the second of them draining.
+fn draining_hosts(nodes: &Server) -> Vec<Value> {
     vec![host("s-0", nodes.addresses[0], "up"), host("s-1", nodes.addresses[1], "draining")]
 }
 
-/// The next call, and how long it offers to wait.
-fn call(discovery: &Server) -> (Peer, u64) {
+/// Accepts the next discovery call and returns it with its `timeout_ms` (0 if it has none).
+fn accept_call(discovery: &Server) -> (Peer, u64) {
     let mut peer = discovery.accept();
     let target = peer.request();
-    let wait = target.split_once("timeout_ms=").map_or(0, |(_, ms)| ms.parse().expect("a wait"));
+    let wait =
+        target.split_once("timeout_ms=").map_or(0, |(_, ms)| ms.parse().expect("timeout_ms is a number"));
     (peer, wait)
 }
 
-/// All of twenty reads go to the first box.
-fn goes_to_the_first_alone(proxy: &Proxy, nodes: &Server) {
-    goes_alone_to(0, 20, proxy, nodes);
+/// Asserts that 20 reads all go to the first node.
+fn assert_reads_go_to_first_node(proxy: &Proxy, nodes: &Server) {
+    assert_reads_go_to_node(0, 20, proxy, nodes);
 }
 
-/// All of so many reads go to this box.
-fn goes_alone_to(at: usize, reads: u64, proxy: &Proxy, nodes: &Server) {
+/// Asserts that `reads` reads all go to the node at index `at`.
+fn assert_reads_go_to_node(at: usize, reads: u64, proxy: &Proxy, nodes: &Server) {
     let (mut client, mut peers) = (proxy.client(), Vec::new());
     for key in 0..reads {
         client.get(key, "read", 9_000);
         let (i, _) = nodes.any(&mut peers);
-        assert_eq!(peers[i].at, at, "key {key} went to a box that leaves");
+        assert_eq!(peers[i].at, at, "key {key} was sent to a draining node");
         peers[i].send(hit("x"));
         assert_eq!(client.command()[0], "x");
     }
 }
 
 #[test]
-fn a_list_that_is_pushed_is_asked_of_the_agent_at_once_and_followed() {
+fn a_pushed_list_is_requested_from_the_agent_at_once_and_applied() {
     let (nodes, discovery) = (Server::many(2), Server::start());
-    let proxy = before(&nodes, &discovery, "automatic");
-    let (mut first, wait) = call(&discovery);
+    let proxy = start_proxy(&nodes, &discovery, "automatic");
+    let (mut first, wait) = accept_call(&discovery);
     assert_eq!(wait, 0);
     first.list(&list(41, false, &[]));
-    let (mut watch, wait) = call(&discovery);
-    assert!((500..=4_000).contains(&wait), "waits {wait} ms");
-    watch.list(&list(42, false, &leaving(&nodes)[1..]));
-    // Once the next call is there, the news have been taken.
-    assert!(call(&discovery).1 > 0);
-    goes_to_the_first_alone(&proxy, &nodes);
+    let (mut watch, wait) = accept_call(&discovery);
+    assert!((500..=4_000).contains(&wait), "long poll of {wait} ms, expected 500 to 4000 ms");
+    watch.list(&list(42, false, &draining_hosts(&nodes)[1..]));
+    // The next call shows that the update has been applied.
+    assert!(accept_call(&discovery).1 > 0);
+    assert_reads_go_to_first_node(&proxy, &nodes);
 }
 
 #[test]
-fn an_agent_that_resets_refuses_or_says_nothing_is_called_again_within_the_grace() {
+fn discovery_is_called_again_within_the_grace_period_after_a_reset_an_error_or_silence() {
     let (nodes, discovery) = (Server::many(2), Server::start());
-    let proxy = before(&nodes, &discovery, "automatic");
-    let begun = Instant::now();
-    call(&discovery).0.reset();
-    call(&discovery).0.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    call(&discovery).0.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot JSON.");
-    let (_silent, _) = call(&discovery);
-    let (mut answers, wait) = call(&discovery);
+    let proxy = start_proxy(&nodes, &discovery, "automatic");
+    let started = Instant::now();
+    accept_call(&discovery).0.reset();
+    accept_call(&discovery).0.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    accept_call(&discovery).0.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot JSON.");
+    let (_silent, _) = accept_call(&discovery);
+    let (mut answers, wait) = accept_call(&discovery);
     assert_eq!(wait, 0);
-    // Four troubles, each over within the grace of half a second.
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
-    answers.list(&list(42, true, &leaving(&nodes)));
-    assert!(call(&discovery).1 > 0);
-    goes_to_the_first_alone(&proxy, &nodes);
+    // Four failures, each recovered from within the grace period of 500 ms.
+    assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
+    answers.list(&list(42, true, &draining_hosts(&nodes)));
+    assert!(accept_call(&discovery).1 > 0);
+    assert_reads_go_to_first_node(&proxy, &nodes);
 }
 
 #[test]
-fn a_call_that_stops_in_the_middle_of_its_answer_is_begun_anew_and_what_it_says_late_is_taken() {
+fn a_call_stalled_mid_response_is_repeated_and_its_late_response_is_applied() {
     for mode in ["automatic", "subscribe"] {
         let (nodes, discovery) = (Server::many(2), Server::start());
-        let proxy = before(&nodes, &discovery, mode);
-        call(&discovery).0.list(&list(41, false, &[]));
-        let (mut stops, wait) = call(&discovery);
+        let proxy = start_proxy(&nodes, &discovery, mode);
+        accept_call(&discovery).0.list(&list(41, false, &[]));
+        let (mut interrupted, wait) = accept_call(&discovery);
         assert!(wait > 0);
-        let answer = http(&list(42, false, &leaving(&nodes)[1..]).to_string());
+        let answer = http(&list(42, false, &draining_hosts(&nodes)[1..]).to_string());
         let (head, rest) = answer.split_at(answer.len() / 2);
-        let begun = Instant::now();
-        stops.send(head);
-        let (_unanswered, wait) = call(&discovery);
+        let started = Instant::now();
+        interrupted.send(head);
+        let (_unanswered, wait) = accept_call(&discovery);
         assert_eq!(wait, 0);
-        assert!(begun.elapsed() < Duration::from_millis(1_500), "{mode}: {:?}", begun.elapsed());
-        stops.send(rest);
-        assert!(call(&discovery).1 > 0, "{mode}: the watch goes on");
-        goes_to_the_first_alone(&proxy, &nodes);
+        assert!(started.elapsed() < Duration::from_millis(1_500), "{mode}: {:?}", started.elapsed());
+        interrupted.send(rest);
+        assert!(accept_call(&discovery).1 > 0, "{mode}: the watch did not continue");
+        assert_reads_go_to_first_node(&proxy, &nodes);
     }
 }
 
 #[test]
-fn a_call_that_is_silent_after_a_silent_watch_is_not_waited_for_past_the_time_at_which_news_counts_as_told() {
+fn silent_calls_after_a_silent_watch_are_abandoned_before_the_notification_deadline() {
     let (nodes, discovery) = (Server::many(2), Server::start());
-    let proxy = before(&nodes, &discovery, "subscribe");
-    call(&discovery).0.list(&list(41, false, &[]));
-    let (_silent, wait) = call(&discovery);
-    let told = Instant::now() + Duration::from_millis(wait + 2_000);
-    // The first call after it is silent too, and the second is refused.
-    let (_silent_too, _) = call(&discovery);
-    call(&discovery).0.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    let (mut answers, _) = call(&discovery);
-    assert!(Instant::now() < told, "the third call comes after its news counts as told");
-    answers.list(&list(42, true, &leaving(&nodes)));
-    assert!(call(&discovery).1 > 0);
-    goes_to_the_first_alone(&proxy, &nodes);
+    let proxy = start_proxy(&nodes, &discovery, "subscribe");
+    accept_call(&discovery).0.list(&list(41, false, &[]));
+    let (_silent, wait) = accept_call(&discovery);
+    let deadline = Instant::now() + Duration::from_millis(wait + 2_000);
+    // The first call after it gets no answer either, and the second gets a 503.
+    let (_silent_too, _) = accept_call(&discovery);
+    accept_call(&discovery).0.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    let (mut answers, _) = accept_call(&discovery);
+    assert!(Instant::now() < deadline, "the third call came after the notification deadline");
+    answers.list(&list(42, true, &draining_hosts(&nodes)));
+    assert!(accept_call(&discovery).1 > 0);
+    assert_reads_go_to_first_node(&proxy, &nodes);
 }
 
-/// So many servers, all of them at the first address but for the last, which is at the second.
-fn large(count: usize, nodes: &Server, health: &str) -> Vec<Value> {
+/// Lists `count` hosts: all at the first address except the last, which is at the second.
+fn large_list(count: usize, nodes: &Server, health: &str) -> Vec<Value> {
     let others = (1..count).map(|i| host(&format!("box-{i:04}.cell-{}", i % 40), nodes.addresses[0], health));
     others.chain([host("s-last", nodes.addresses[1], "up")]).collect()
 }
 
 #[test]
-fn lists_of_thousands_are_taken_however_they_come_and_all_of_their_drains_are_kept() {
+fn lists_of_thousands_of_hosts_are_applied_in_any_framing_with_every_drain() {
     for (count, memory, sockets) in [(1_024, 192, 1_024), (2_000, 56, 544)] {
         let (nodes, discovery) = (Server::many(2), Server::start());
         let proxy = Proxy::with(&nodes, |c| {
@@ -130,53 +131,54 @@
             c["settings"]["self_index"] = json!(349);
             c["settings"]["discovery"] = json!("automatic");
             c["peers"] = (0..350).map(|i| json!(format!("10.3.{}.{}:7946", i / 250, i % 250 + 1))).collect();
-            c["known"] = list(41, true, &large(count, &nodes, "up"));
+            c["known"] = list(41, true, &large_list(count, &nodes, "up"));
         });
-        call(&discovery).0.list(&list(41, false, &[]));
-        // All change in one answer, which is indented and comes in chunks of one byte.
-        let (mut watch, _) = call(&discovery);
-        let changed = large(count, &nodes, "draining");
-        let body = serde_json::to_string_pretty(&list(42, false, &changed[..count - 1])).expect("text");
+        accept_call(&discovery).0.list(&list(41, false, &[]));
+        // One response changes every host but the last; it is indented JSON in chunks of one byte.
+        let (mut watch, _) = accept_call(&discovery);
+        let changed = large_list(count, &nodes, "draining");
+        let body = serde_json::to_string_pretty(&list(42, false, &changed[..count - 1]))
+            .expect("the list serializes");
         let mut answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         body.bytes().for_each(|b| answer.extend([b'1', b'\r', b'\n', b, b'\r', b'\n']));
         answer.extend(b"0\r\n\r\n");
         watch.send(answer);
-        let mut next = call(&discovery);
+        let mut next = accept_call(&discovery);
         while next.1 == 0 {
-            // A call that began beside the slow one.
-            next = call(&discovery);
+            // A call that was started while the slow response was still arriving.
+            next = accept_call(&discovery);
         }
-        goes_alone_to(1, 50, &proxy, &nodes);
-        // A whole list again, one that is as long as it may be.
-        next.0.list(&list(43, true, &large(count, &nodes, "up")));
-        call(&discovery);
+        assert_reads_go_to_node(1, 50, &proxy, &nodes);
+        // Another whole list of the same size.
+        next.0.list(&list(43, true, &large_list(count, &nodes, "up")));
+        accept_call(&discovery);
         let peak = proxy.status("VmHWM");
-        println!("{count} servers, {} bytes of list: peak {peak} kB", body.len());
-        assert!(peak < memory << 10, "{peak} kB of {memory} MB");
+        println!("{count} hosts, list of {} bytes: peak {peak} kB", body.len());
+        assert!(peak < memory << 10, "peak of {peak} kB exceeds the limit of {memory} MB");
         proxy.is_well();
     }
 }
 
 #[test]
-fn a_list_that_is_older_too_long_or_never_ends_changes_nothing_and_another_is_asked_for() {
+fn a_stale_oversized_or_unfinished_list_is_discarded_and_requested_again() {
     let (nodes, discovery) = (Server::many(2), Server::start());
-    let proxy = before(&nodes, &discovery, "automatic");
-    // Older: what it says of the first box would leave none but the second.
-    call(&discovery).0.list(&list(40, true, &[host("s-1", nodes.addresses[1], "up")]));
-    // Too long for the memory, by the megabyte more than it says the proxy may have.
-    let (mut long, _) = call(&discovery);
+    let proxy = start_proxy(&nodes, &discovery, "automatic");
+    // Stale: if it were applied, only the second node would remain.
+    accept_call(&discovery).0.list(&list(40, true, &[host("s-1", nodes.addresses[1], "up")]));
+    // Oversized: it exceeds the memory that the proxy may use.
+    let (mut long, _) = accept_call(&discovery);
     long.send("HTTP/1.1 200 OK\r\n\r\n{\"seq\":43,\"whole\":true,\"hosts\":[");
     let piece = vec![b' '; 1 << 20];
     while long.offers(&piece) {}
-    // Never ends.
-    let (mut endless, _) = call(&discovery);
+    // Unfinished: the body is shorter than its Content-Length.
+    let (mut endless, _) = accept_call(&discovery);
     let change = list(44, true, &[host("s-1", nodes.addresses[1], "up")]).to_string();
     endless.send(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{}", &change[..change.len() - 1]));
-    let (mut answers, wait) = call(&discovery);
+    let (mut answers, wait) = accept_call(&discovery);
     assert_eq!(wait, 0);
-    answers.list(&list(42, true, &leaving(&nodes)));
-    assert!(call(&discovery).1 > 0);
-    goes_to_the_first_alone(&proxy, &nodes);
+    answers.list(&list(42, true, &draining_hosts(&nodes)));
+    assert!(accept_call(&discovery).1 > 0);
+    assert_reads_go_to_first_node(&proxy, &nodes);
     let log = proxy.log();
     assert!(log.contains("discovery: seq 40 is older than 41, which is in force"), "{log}");
 }
--- a/crates/proxy/tests/pipeline.rs
+++ b/crates/proxy/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! Commands behind one another, on connections to scripted boxes and from scripted clients, before the built binary.
+//! Pipelining by the built binary, on connections to scripted cache nodes and from scripted clients.
 
 use resp::{Command, CommandParser, MemoryBudget};
 use serde_json::{json, Value};
@@ -14,19 +14,19 @@
 const PUSH: &str = ">2\r\n+invalidate\r\n*1\r\n$1\r\nk\r\n";
 const HELLO: &str = "%3\r\n+server\r\n+box\r\n+proto\r\n:3\r\n+modules\r\n*0\r\n";
 
-/// One connection to each box, so that commands go behind one another.
-fn narrow(c: &mut Value) {
+/// Allows one connection to each node, so that commands are pipelined.
+fn one_connection_per_node(c: &mut Value) {
     c["settings"]["n_instances"] = json!(24);
 }
 
-/// One connection to each box, and one attempt for each request.
-fn once(c: &mut Value) {
-    narrow(c);
+/// Allows one connection to each node and one attempt per request.
+fn one_connection_and_attempt(c: &mut Value) {
+    one_connection_per_node(c);
     c["settings"]["caps"]["attempts_cap"] = json!(1);
 }
 
-/// A proxy that is allowed to put commands behind one another, up to `depth` of them.
-fn deep(nodes: &Server, depth: usize, more: &str, edit: impl FnOnce(&mut Value)) -> Proxy {
+/// Starts a proxy that may pipeline up to `depth` commands on a connection.
+fn start_pipelining(nodes: &Server, depth: usize, more: &str, edit: impl FnOnce(&mut Value)) -> Proxy {
     let operator = format!("version = 1\n{more}\n[pipeline]\nreads = {depth}\nwrites = {depth}");
     Proxy::operated(nodes, &operator, edit)
 }
@@ -35,36 +35,40 @@
     encode(&["CACHE.GET", &format!("{key:016x}"), id, &format!("c=read,d={wait_ms}")])
 }
 
-// ---- a break at every byte ----
+// ---- a failure at every byte ----
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum How {
+enum FailureKind {
     Reset,
     Close,
     Silence,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Break {
-    /// The box breaks once it has read so many bytes; else once it has written so many of its answers.
+struct FailurePlan {
+    /// Whether the node fails after reading `after` bytes, rather than after writing `after` bytes of its responses.
     reading: bool,
     after: usize,
-    how: How,
+    kind: FailureKind,
     resp3: bool,
 }
 
-/// What came whole to any box: of each request, how often.
-type Record = Arc<Mutex<HashMap<String, usize>>>;
+/// How many times each request arrived complete at any node, by request id.
+type ReceiptCounts = Arc<Mutex<HashMap<String, usize>>>;
 
-struct Speaker {
+struct NodeProtocol {
     parser: CommandParser,
-    three: bool,
-    record: Record,
+    resp3_answers: bool,
+    record: ReceiptCounts,
 }
 
-impl Speaker {
-    fn new(plan: Break, record: Record) -> Speaker {
-        Speaker { parser: CommandParser::new(MemoryBudget::new(1 << 20)), three: plan.resp3, record }
+impl NodeProtocol {
+    fn new(plan: FailurePlan, record: ReceiptCounts) -> NodeProtocol {
+        NodeProtocol {
+            parser: CommandParser::new(MemoryBudget::new(1 << 20)),
+            resp3_answers: plan.resp3,
+            record,
+        }
     }
 
     fn answer(&mut self, command: &Command) -> Vec<u8> {
@@ -72,7 +76,7 @@
             return HELLO.into();
         }
         let id = String::from_utf8_lossy(command.arg(2)).into_owned();
-        let served = match self.three {
+        let served = match self.resp3_answers {
             true => format!("%2\r\n+value\r\n${}\r\n{id}\r\n+note\r\n+hit\r\n", id.len()).into_bytes(),
             false => hit(&id),
         };
@@ -80,8 +84,8 @@
         served
     }
 
-    /// Takes bytes; the answers to what is whole by them.
-    fn take(&mut self, mut bytes: &[u8]) -> Vec<u8> {
+    /// Feeds bytes to the parser and returns the responses to the commands that they complete.
+    fn feed_all(&mut self, mut bytes: &[u8]) -> Vec<u8> {
         let mut out = Vec::new();
         while !bytes.is_empty() {
             let (used, command) = self.parser.feed(bytes).expect("a command");
@@ -92,23 +96,27 @@
     }
 }
 
-/// Plays the box on the connection that breaks; gives it back if it stays silent.
-fn break_off(mut stream: TcpStream, speaker: &mut Speaker, plan: Break) -> Option<TcpStream> {
+/// Plays the node on the failing connection. Returns the stream if it is to stay open in silence.
+fn run_failing_connection(
+    mut stream: TcpStream,
+    protocol: &mut NodeProtocol,
+    plan: FailurePlan,
+) -> Option<TcpStream> {
     let mut buffer = [0; 4096];
     if plan.reading {
         let mut left = plan.after;
         while left > 0 {
             let Ok(n @ 1..) = stream.read(&mut buffer[..left.min(4096)]) else { return None };
-            speaker.take(&buffer[..n]);
+            protocol.feed_all(&buffer[..n]);
             left -= n;
         }
     } else {
-        // All that comes in one go, which is what is in the pipeline.
+        // Everything that arrives without a pause, which is the whole pipeline.
         let mut out = Vec::new();
         loop {
             match stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(n) => out.extend(speaker.take(&buffer[..n])),
+                Ok(n) => out.extend(protocol.feed_all(&buffer[..n])),
                 Err(e) if e.kind() == ErrorKind::WouldBlock && !out.is_empty() => break,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Err(_) => return None,
@@ -117,21 +125,21 @@
         }
         let _ = stream.write_all(&out[..plan.after.min(out.len())]);
     }
-    match plan.how {
-        How::Silence => return Some(stream),
-        How::Reset => {
+    match plan.kind {
+        FailureKind::Silence => return Some(stream),
+        FailureKind::Reset => {
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("linger");
         }
-        How::Close => {
+        FailureKind::Close => {
             let _ = stream.shutdown(Shutdown::Write);
         }
     }
     None
 }
 
-/// A box at so many addresses: the first connection that carries anything breaks as planned.
-fn breaking(addresses: usize, plan: Break) -> (Server, Record) {
-    let record = Record::default();
+/// Starts a node at `addresses` addresses whose first connection fails as planned.
+fn start_failing_node(addresses: usize, plan: FailurePlan) -> (Server, ReceiptCounts) {
+    let record = ReceiptCounts::default();
     let first = Arc::new(AtomicUsize::new(0));
     let mut server = Server::many(0);
     for _ in 0..addresses {
@@ -143,12 +151,12 @@
             for stream in listener.incoming().flatten() {
                 let record = record.clone();
                 if first.fetch_add(1, Ordering::Relaxed) == 0 {
-                    kept.extend(break_off(stream, &mut Speaker::new(plan, record), plan));
+                    kept.extend(run_failing_connection(stream, &mut NodeProtocol::new(plan, record), plan));
                     continue;
                 }
                 std::thread::spawn(move || {
-                    let mut speaker = Speaker::new(plan, record);
-                    answer_all(stream, |command| Some(speaker.answer(command)));
+                    let mut protocol = NodeProtocol::new(plan, record);
+                    answer_all(stream, |command| Some(protocol.answer(command)));
                 });
             }
         });
@@ -156,10 +164,10 @@
     (server, record)
 }
 
-/// Names what was played when something fails beneath.
-struct Named(Break);
+/// Prints the failure plan if the test panics while it runs.
+struct PlanOnPanic(FailurePlan);
 
-impl Drop for Named {
+impl Drop for PlanOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("in {:?}", self.0);
@@ -167,14 +175,15 @@
     }
 }
 
-/// One pipeline of reads and writes, all for one key, that breaks so. How many commands the box had whole.
-fn broken(plan: Break) -> usize {
-    let _named = Named(plan);
-    let (server, record) = breaking(2, plan);
+/// Sends one pipeline of reads and writes for one key through the planned failure. Returns how many commands arrived
+/// complete.
+fn run_failure_plan(plan: FailurePlan) -> usize {
+    let _named = PlanOnPanic(plan);
+    let (server, record) = start_failing_node(2, plan);
     let greeted = if plan.resp3 { "boxes.resp3 = true" } else { "" };
-    let proxy = deep(&server, 32, greeted, narrow);
+    let proxy = start_pipelining(&server, 32, greeted, one_connection_per_node);
     let mut client = proxy.client();
-    let wait = if plan.how == How::Silence { 90 } else { 250 };
+    let wait = if plan.kind == FailureKind::Silence { 90 } else { 250 };
     let set = |class: &str, id: &str, more: &str| {
         encode(&["CACHE.SET", "0000000000000001", id, &format!("c={class},d={wait}{more}"), "v"])
     };
@@ -186,35 +195,42 @@
         read(1, "r5", wait),
     ];
     client.send(commands.concat());
-    let mut told = HashMap::new();
+    let mut outcomes = HashMap::new();
     for id in ["r1", "w2", "r3", "w4", "r5"] {
         let answer = client.command();
         let served = answer.len() > 1;
-        assert!(!served || answer[0] == id, "{plan:?}: {id} is answered with {answer:?}");
-        told.insert(id, (served, answer[0].starts_with("-BUSY")));
+        assert!(!served || answer[0] == id, "{plan:?}: {id} was answered with {answer:?}");
+        outcomes.insert(id, (served, answer[0].starts_with("-BUSY")));
     }
-    // Nothing comes behind the last answer.
+    // Nothing follows the last response.
     client.stream.shutdown(Shutdown::Write).expect("shut");
     assert!(client.rest().is_empty(), "{plan:?}");
     let record = record.lock().expect("a lock");
     let times = |id: &str| record.get(id).copied().unwrap_or(0);
     for id in ["w2", "w4"] {
-        assert!(!told[id].0 || times(id) > 0, "{plan:?}: {id} was served and never came");
+        assert!(!outcomes[id].0 || times(id) > 0, "{plan:?}: {id} was acknowledged but never reached a node");
     }
-    // The keyed one may be refused once it has come: boxes know it again by its key. The unsafe one may not.
-    assert!(!told["w4"].1 || times("w4") == 0, "{plan:?}: an unsafe write was refused and had come");
-    assert!(times("w4") <= 1, "{plan:?}: an unsafe write came {} times", times("w4"));
+    // The keyed write may be rejected after it has arrived, since nodes recognize it by its key. The unsafe one may not.
+    assert!(
+        !outcomes["w4"].1 || times("w4") == 0,
+        "{plan:?}: an unsafe write was rejected after it had reached a node"
+    );
+    assert!(
+        times("w4") <= 1,
+        "{plan:?}: an unsafe write reached nodes {} times, expected at most once",
+        times("w4")
+    );
     record.values().sum()
 }
 
-/// Plays all of these on a few threads.
-fn all_broken(plans: Vec<Break>) -> usize {
+/// Runs all plans on eight threads and returns the sum of the complete commands.
+fn run_failure_plans(plans: Vec<FailurePlan>) -> usize {
     let (next, whole) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..8 {
             scope.spawn(|| {
                 while let Some(plan) = plans.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    whole.fetch_add(broken(*plan), Ordering::Relaxed);
+                    whole.fetch_add(run_failure_plan(*plan), Ordering::Relaxed);
                 }
             });
         }
@@ -222,50 +238,50 @@
     whole.into_inner()
 }
 
-/// Bytes of the pipeline in `broken`, and of its answers, in RESP2; a greeting is longer.
-const ASKED: usize = 380;
-const ANSWERED: usize = 130;
+/// Bytes of the pipeline in `run_failure_plan`, and of its responses, in RESP2; RESP3 adds the greeting.
+const REQUEST_BYTES: usize = 380;
+const RESPONSE_BYTES: usize = 130;
 
-fn every_byte(how: How) {
-    [false, true].into_iter().for_each(|resp3| every_byte_of(resp3, how));
+fn fail_at_every_byte(kind: FailureKind) {
+    [false, true].into_iter().for_each(|resp3| fail_at_every_byte_in_protocol(resp3, kind));
 }
 
-fn every_byte_of(resp3: bool, how: How) {
+fn fail_at_every_byte_in_protocol(resp3: bool, kind: FailureKind) {
     let more = if resp3 { 40 } else { 0 };
-    let plan = |reading, after| Break { reading, after, how, resp3 };
-    let plans: Vec<Break> = (0..ASKED + more)
+    let plan = |reading, after| FailurePlan { reading, after, kind, resp3 };
+    let plans: Vec<FailurePlan> = (0..REQUEST_BYTES + more)
         .map(|k| plan(true, k))
-        .chain((0..ANSWERED + 2 * more).map(|k| plan(false, k)))
+        .chain((0..RESPONSE_BYTES + 2 * more).map(|k| plan(false, k)))
         .collect();
     let count = plans.len();
-    let whole = all_broken(plans);
-    // The pipelines were such: two commands each came whole, and more, on average.
-    assert!(whole > 2 * count, "{whole} in {count}");
+    let whole = run_failure_plans(plans);
+    // Guards the script itself: on average more than two commands of a pipeline arrive complete.
+    assert!(whole > 2 * count, "{whole} complete commands in {count} pipelines");
 }
 
 #[test]
-fn a_reset_at_every_byte_of_a_pipeline_doubles_nothing_and_harms_no_answer() {
-    every_byte(How::Reset);
+fn a_reset_at_any_byte_of_a_pipeline_duplicates_no_write_and_misdelivers_no_response() {
+    fail_at_every_byte(FailureKind::Reset);
 }
 
 #[test]
-fn an_end_at_every_byte_of_a_pipeline_doubles_nothing_and_harms_no_answer() {
-    every_byte(How::Close);
+fn a_close_at_any_byte_of_a_pipeline_duplicates_no_write_and_misdelivers_no_response() {
+    fail_at_every_byte(FailureKind::Close);
 }
 
 #[test]
-fn a_silence_at_every_byte_of_a_pipeline_doubles_nothing_and_harms_no_answer() {
-    every_byte(How::Silence);
+fn a_stall_at_any_byte_of_a_pipeline_duplicates_no_write_and_misdelivers_no_response() {
+    fail_at_every_byte(FailureKind::Silence);
 }
 
-// ---- one box that stops or misbehaves ----
+// ---- one node that stalls or misbehaves ----
 
 #[test]
-fn behind_a_silent_box_with_a_full_pipeline_reads_go_elsewhere_and_writes_take_effect_once() {
+fn with_a_full_pipeline_to_a_silent_node_reads_go_elsewhere_and_writes_are_sent_once() {
     const DEPTH: usize = 4;
     let nodes = Server::many(2);
-    let proxy = deep(&nodes, DEPTH, "", |c| {
-        narrow(c);
+    let proxy = start_pipelining(&nodes, DEPTH, "", |c| {
+        one_connection_per_node(c);
         c["settings"]["caps"]["streams_per_conn"] = json!(DEPTH);
         c["settings"]["caps"]["second_copies"] = json!(false);
     });
@@ -273,7 +289,7 @@
     let mut served = 0;
     for key in 0..40 {
         let mut client = proxy.client();
-        let begun = Instant::now();
+        let started = Instant::now();
         client.get(key, "read", 15_000);
         let (i, command) = nodes.any(&mut peers);
         if peers[i].at == 0 {
@@ -282,28 +298,28 @@
         }
         peers[i].send(hit(&command[2]));
         assert_eq!(client.command()[0], command[2]);
-        assert!(begun.elapsed() < Duration::from_secs(2), "key {key} took {:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(2), "key {key} took {:?}", started.elapsed());
         served += 1;
     }
     assert_eq!((waiting.len(), served), (DEPTH, 40 - DEPTH));
-    // A write goes where there is room as well, once.
+    // A write goes to the node with room too, and once.
     let mut writer = proxy.client();
     writer.set(1, "put", 15_000, "v");
     let (i, command) = nodes.any(&mut peers);
     assert_eq!((peers[i].at, &command[0][..]), (1, "CACHE.SET"));
     peers[i].send(RECEIPT);
     assert_eq!(writer.command()[0], "ok");
-    // The silent one speaks again: each has its own.
+    // The silent node answers after all: each client gets its own response.
     assert!(nodes.soon(&mut peers).is_none() && peers.len() == 2);
-    let silent = peers.iter_mut().find(|p| p.at == 0).expect("the silent one");
+    let silent = peers.iter_mut().find(|p| p.at == 0).expect("a connection to the silent node");
     waiting.iter().for_each(|(_, id)| silent.send(hit(id)));
     for (client, id) in &mut waiting {
         assert_eq!(client.command()[0], *id);
     }
 }
 
-/// So many reads on one connection to the node, each of a client of its own; the connection.
-fn behind_one_another(proxy: &Proxy, node: &Server, count: usize) -> (Vec<Peer>, Peer) {
+/// Pipelines `count` reads of separate clients on one connection to the node. Returns the clients and that connection.
+fn pipeline_reads(proxy: &Proxy, node: &Server, count: usize) -> (Vec<Peer>, Peer) {
     let mut clients: Vec<Peer> = (0..count).map(|_| proxy.client()).collect();
     clients[0].get(0, "read", 15_000);
     let (mut at_node, _) = node.command();
@@ -315,10 +331,10 @@
 }
 
 #[test]
-fn a_spoilt_answer_ends_what_stands_behind_it_and_serves_what_came_before() {
+fn a_malformed_response_fails_later_commands_of_the_pipeline_but_not_earlier_ones() {
     let node = Server::start();
-    let proxy = deep(&node, 32, "", once);
-    let (mut clients, mut at_node) = behind_one_another(&proxy, &node, 4);
+    let proxy = start_pipelining(&node, 32, "", one_connection_and_attempt);
+    let (mut clients, mut at_node) = pipeline_reads(&proxy, &node, 4);
     at_node.send([hit("first"), b"?spoilt\r\n".to_vec(), hit("third"), hit("fourth")].concat());
     assert_eq!(clients[0].command()[0], "first");
     for client in &mut clients[1..] {
@@ -329,31 +345,36 @@
 }
 
 #[test]
-fn a_surplus_answer_is_never_the_next_commands() {
+fn an_unsolicited_response_is_not_delivered_to_the_next_command() {
     let node = Server::start();
-    let proxy = deep(&node, 32, "", once);
-    let (mut clients, mut at_node) = behind_one_another(&proxy, &node, 3);
+    let proxy = start_pipelining(&node, 32, "", one_connection_and_attempt);
+    let (mut clients, mut at_node) = pipeline_reads(&proxy, &node, 3);
     at_node.send([hit("a"), hit("b"), hit("c"), hit("nobody's")].concat());
     let got: Vec<String> = clients.iter_mut().map(|c| c.command().remove(0)).collect();
     assert_eq!(got, ["a", "b", "c"]);
     clients[0].get(7, "read", 900);
-    let (mut anew, _) = node.command();
-    anew.send(hit("its own"));
+    let (mut reconnected, _) = node.command();
+    reconnected.send(hit("its own"));
     assert_eq!(clients[0].command()[0], "its own");
     assert!(at_node.rest().is_empty());
 }
 
-/// What boxes send behind a good answer, which nobody asked for.
+/// Unsolicited bytes that a node sends after a valid response.
 #[derive(Clone, Copy, Debug)]
-enum Surplus {
+enum Unsolicited {
     Copy,
     Noise,
     Half,
 }
 
-/// A box that answers each read with its key and id after half a millisecond, and every second one with a surplus if
-/// nothing else has come by then: in the same write, or so many milliseconds later at the most, whatever comes meanwhile.
-fn generous(listener: TcpListener, surplus: Surplus, late_ms: u64, sent: Arc<AtomicUsize>) {
+/// Plays a node that answers each read with its key and id after 500 µs. If no other command has arrived by then, half of
+/// the responses are followed by unsolicited bytes: in the same write, or up to `late_ms` later even if commands arrive.
+fn serve_with_unsolicited_bytes(
+    listener: TcpListener,
+    unsolicited: Unsolicited,
+    late_ms: u64,
+    sent: Arc<AtomicUsize>,
+) {
     for mut stream in listener.incoming().flatten() {
         let sent = sent.clone();
         std::thread::spawn(move || {
@@ -373,10 +394,10 @@
                 stream.set_nonblocking(false).expect("set");
                 if alone && fastrand::bool() {
                     sent.fetch_add(1, Ordering::Relaxed);
-                    let more = match surplus {
-                        Surplus::Copy => out.clone(),
-                        Surplus::Noise => b"-ERR failed\r\n".to_vec(),
-                        Surplus::Half => out[..out.len() / 2].to_vec(),
+                    let more = match unsolicited {
+                        Unsolicited::Copy => out.clone(),
+                        Unsolicited::Noise => b"-ERR failed\r\n".to_vec(),
+                        Unsolicited::Half => out[..out.len() / 2].to_vec(),
                     };
                     if late_ms == 0 {
                         out.extend(more);
@@ -388,10 +409,10 @@
                         }
                         out.clear();
                         std::thread::spawn(move || {
-                            let begun = Instant::now();
+                            let started = Instant::now();
                             std::thread::sleep(late);
-                            // One that was held up is not sent: it would be later than is told.
-                            if begun.elapsed() < Duration::from_millis(late_ms + 10) {
+                            // If this thread woke up too late, nothing is sent: it would exceed the stated lateness.
+                            if started.elapsed() < Duration::from_millis(late_ms + 10) {
                                 let _ = apart.write_all(&more);
                             }
                         });
@@ -405,10 +426,10 @@
     }
 }
 
-/// Many clients at a proxy before one such box with one connection, until so many are served: how many that were, how
-/// often the box sent too much, and how many got what was made for another.
-fn beside_a_generous_box(
-    surplus: Surplus,
+/// Runs several clients against such a node behind one connection until `requests` are served. Returns how many were
+/// served, how often the node sent unsolicited bytes, and how many clients got a response made for another request.
+fn run_against_unsolicited_bytes(
+    unsolicited: Unsolicited,
     late_ms: u64,
     operator: &str,
     requests: usize,
@@ -419,29 +440,32 @@
     node.addresses.push(listener.local_addr().expect("an address"));
     let sent = Arc::new(AtomicUsize::new(0));
     let counted = sent.clone();
-    std::thread::spawn(move || generous(listener, surplus, late_ms, counted));
-    let proxy = Proxy::operated(&node, operator, narrow);
-    let (served, wrong, begun) = (AtomicUsize::new(0), AtomicUsize::new(0), Instant::now());
+    std::thread::spawn(move || serve_with_unsolicited_bytes(listener, unsolicited, late_ms, counted));
+    let proxy = Proxy::operated(&node, operator, one_connection_per_node);
+    let (served, misdelivered, started) = (AtomicUsize::new(0), AtomicUsize::new(0), Instant::now());
     std::thread::scope(|scope| {
         for c in 0..CLIENTS {
-            let (proxy, served, wrong) = (&proxy, &served, &wrong);
+            let (proxy, served, misdelivered) = (&proxy, &served, &misdelivered);
             scope.spawn(move || {
                 let mut client = proxy.client();
                 for i in 0.. {
                     if served.load(Ordering::Relaxed) >= requests {
                         return;
                     }
-                    assert!(begun.elapsed() < 3 * PATIENCE, "{surplus:?}: hardly any is served");
-                    // Half of them ask for a key that all ask for.
+                    assert!(
+                        started.elapsed() < 3 * PATIENCE,
+                        "{unsolicited:?}: fewer than {requests} requests served in time"
+                    );
+                    // Half of the requests are for a key shared by all clients.
                     let (key, id) = (if i % 2 == 0 { 7 } else { c as u64 }, format!("{c}-{i}"));
                     client.send(read(key, &id, 2_000));
                     let answer = client.command();
                     if answer.len() > 1 {
                         let right = answer[0] == format!("{key:016x}:{id}");
                         served.fetch_add(1, Ordering::Relaxed);
-                        wrong.fetch_add(usize::from(!right), Ordering::Relaxed);
+                        misdelivered.fetch_add(usize::from(!right), Ordering::Relaxed);
                     } else {
-                        // Refused while the connection is taken: asked again when it may be free.
+                        // Rejected while the connection is in use: retry when it may be free.
                         std::thread::sleep(Duration::from_micros(300));
                     }
                 }
@@ -449,55 +473,60 @@
         }
     });
     let (served, sent) = (served.into_inner(), sent.load(Ordering::Relaxed));
-    (served, sent, wrong.into_inner())
-}
-
-/// The same, for each kind of surplus: there was enough of it, and none was given to another request.
-fn none_to_another(late_ms: u64, operator: &str, requests: usize) {
-    for surplus in SURPLUS {
-        let (served, sent, wrong) = beside_a_generous_box(surplus, late_ms, operator, requests);
-        assert!(sent > served / 10, "{surplus:?}: {served} served, {sent} more");
-        assert_eq!(wrong, 0, "{surplus:?} to {late_ms} ms late, {served} served, {sent} more");
+    (served, sent, misdelivered.into_inner())
+}
+
+/// Runs each kind of unsolicited bytes and asserts that there were enough and that none reached another request.
+fn assert_no_response_misdelivered(late_ms: u64, operator: &str, requests: usize) {
+    for unsolicited in UNSOLICITED_KINDS {
+        let (served, sent, misdelivered) =
+            run_against_unsolicited_bytes(unsolicited, late_ms, operator, requests);
+        assert!(sent > served / 10, "{unsolicited:?}: {served} served, {sent} unsolicited");
+        assert_eq!(
+            misdelivered, 0,
+            "{unsolicited:?} to {late_ms} ms late, {served} served, {sent} unsolicited"
+        );
     }
 }
 
-const SURPLUS: [Surplus; 3] = [Surplus::Copy, Surplus::Noise, Surplus::Half];
+const UNSOLICITED_KINDS: [Unsolicited; 3] = [Unsolicited::Copy, Unsolicited::Noise, Unsolicited::Half];
 
 #[test]
-fn what_a_box_sends_too_much_is_never_given_to_another_request() {
-    none_to_another(0, "version = 1", 600);
+fn unsolicited_bytes_are_never_delivered_to_another_request() {
+    assert_no_response_misdelivered(0, "version = 1", 600);
 }
 
-/// Copies and noise in segments of their own, some milliseconds behind the answer, while the next commands come.
+/// Unsolicited bytes arrive in separate segments some milliseconds after the response, while the next commands arrive.
 #[test]
-fn what_a_box_sends_too_much_some_milliseconds_late_is_found_while_its_connection_rests() {
-    // A thread that sleeps may wake late on a busy machine, so the rest is much longer than what it is to cover.
-    none_to_another(15, "version = 1\n[pipeline]\nrest_ms = 50", 40);
+fn unsolicited_bytes_that_arrive_late_are_detected_within_the_settle_delay() {
+    // A sleeping thread may wake late on a busy machine, so the settle delay is much longer than the lateness it covers.
+    assert_no_response_misdelivered(15, "version = 1\n[pipeline]\nrest_ms = 50", 40);
 }
 
-/// What remains without a rest, with the rest as it is at first, and with one that covers all: prints a line each.
+/// Prints the misdelivered responses with no settle delay, the default one, and one that covers every lateness.
 #[test]
 #[ignore = "a measurement"]
-fn how_much_too_late_is_given_to_another_request_by_rest_and_lateness() {
+fn measure_misdelivered_responses_by_settle_delay_and_lateness() {
     for late_ms in [4, 10, 20] {
         for rest in ["rest_ms = 0", "", "rest_ms = 25"] {
             let operator = format!("version = 1\n[pipeline]\n{rest}");
-            let (served, sent, wrong) = beside_a_generous_box(Surplus::Copy, late_ms, &operator, 1_000);
-            println!("to {late_ms} ms late, {rest:?}: {served} served, {sent} too much, {wrong} to another");
+            let (served, sent, misdelivered) =
+                run_against_unsolicited_bytes(Unsolicited::Copy, late_ms, &operator, 1_000);
+            println!("to {late_ms} ms late, {rest:?}: {served} served, {sent} unsolicited, {misdelivered} misdelivered");
         }
     }
 }
 
 #[test]
 #[ignore = "a million answers take minutes"]
-fn in_a_million_answers_nothing_too_much_is_given_to_another_request() {
-    none_to_another(0, "version = 1", 1_000_000);
+fn unsolicited_bytes_are_never_delivered_in_a_million_responses() {
+    assert_no_response_misdelivered(0, "version = 1", 1_000_000);
 }
 
 #[test]
-fn a_push_between_answers_is_nobodys_answer() {
+fn a_push_between_responses_answers_no_command() {
     let node = Server::start();
-    let proxy = deep(&node, 32, "boxes.resp3 = true", once);
+    let proxy = start_pipelining(&node, 32, "boxes.resp3 = true", one_connection_and_attempt);
     let mut clients: Vec<Peer> = (0..3).map(|_| proxy.client()).collect();
     clients[0].get(0, "read", 15_000);
     let (mut at_node, greeting) = node.command();
@@ -515,11 +544,11 @@
 }
 
 #[test]
-fn a_value_of_4_mib_in_the_middle_delays_only_what_stands_behind_it() {
+fn a_4_mib_value_delays_only_the_commands_behind_it() {
     const LONG: usize = 4 << 20;
     let node = Server::start();
-    let proxy = deep(&node, 32, "", once);
-    let (mut clients, mut at_node) = behind_one_another(&proxy, &node, 3);
+    let proxy = start_pipelining(&node, 32, "", one_connection_and_attempt);
+    let (mut clients, mut at_node) = pipeline_reads(&proxy, &node, 3);
     let writer = std::thread::spawn(move || {
         at_node.send([hit("before"), hit(&"x".repeat(LONG)), hit("behind")].concat());
         at_node
@@ -532,9 +561,9 @@
 }
 
 #[test]
-fn the_late_answer_of_one_called_off_in_the_middle_is_nobodys() {
+fn the_late_response_of_a_cancelled_command_is_discarded() {
     let node = Server::start();
-    let proxy = deep(&node, 32, "", once);
+    let proxy = start_pipelining(&node, 32, "", one_connection_and_attempt);
     let mut clients: Vec<Peer> = (0..3).map(|_| proxy.client()).collect();
     clients[0].get(0, "read", 15_000);
     let (mut at_node, _) = node.command();
@@ -545,7 +574,7 @@
     assert!(clients[1].line().starts_with('-'));
     at_node.send([hit("a"), hit("late"), hit("c")].concat());
     assert_eq!((&clients[0].command()[0][..], &clients[2].command()[0][..]), ("a", "c"));
-    // The connection is as good as before.
+    // The connection stays usable.
     clients[1].get(1, "read", 15_000);
     at_node.command();
     at_node.send(hit("again"));
@@ -553,7 +582,7 @@
 }
 
 #[test]
-fn a_box_with_one_connection_left_and_one_that_refuses_every_second_still_serve() {
+fn a_node_that_keeps_one_connection_or_every_second_one_still_serves() {
     for every in [usize::MAX, 2] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let mut server = Server::many(0);
@@ -574,31 +603,31 @@
                 });
             }
         });
-        let proxy = deep(&server, 32, "", |_| {});
+        let proxy = start_pipelining(&server, 32, "", |_| {});
         let mut served = 0;
         for round in 0..10_u64 {
             let mut clients: Vec<Peer> = (0..4).map(|_| proxy.client()).collect();
             clients.iter_mut().zip(0..).for_each(|(c, i)| c.get(round * 4 + i, "read", 2_000));
             served += clients.iter_mut().filter_map(|c| (c.command().len() > 1).then_some(())).count();
         }
-        assert!(served >= 30, "{served} of 40 where every {every}th connection holds");
-        // It is not knocked at for each request.
+        assert!(served >= 30, "{served} of 40 served where every {every}th connection is kept");
+        // The proxy does not open a connection for each request.
         let opened = opened.load(Ordering::Relaxed);
-        assert!(opened <= 60, "{opened} connections");
+        assert!(opened <= 60, "{opened} connections opened, expected at most 60");
     }
 }
 
 #[test]
-fn what_is_unwritten_behind_a_head_that_outlasts_its_history_moves_to_another_connection() {
+fn unwritten_commands_behind_an_unusually_slow_head_move_to_another_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    // What a box does not read stays with the proxy.
+    // With a small receive buffer, unread bytes stay with the proxy.
     socket2::SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
     let node = Server::at(listener);
     let proxy = Proxy::operated(
         &node,
         "version = 1\n[pipeline]\nreads = 32\nwrites = 32\nhead_quantile = 0.5",
         |c| {
-            once(c);
+            one_connection_and_attempt(c);
             c["settings"]["n_instances"] = json!(12);
         },
     );
@@ -616,8 +645,8 @@
         first = ask(key);
         command = full.command();
     }
-    // A head that takes its time, and a write behind it that the socket does not take; one read after the other on the
-    // second connection, and one behind the write.
+    // A slow head with a write behind it that does not fit into the socket; two reads in turn on the second connection,
+    // and one read behind the write.
     let mut second = ask(10);
     let (mut free, other) = node.command();
     let mut writer = proxy.client();
@@ -632,12 +661,12 @@
         (second.command()[0].clone(), third.command()[0].clone()),
         (other[2].clone(), behind[2].clone())
     );
-    // Nothing is read from the first connection, and nothing new is asked: only the move brings it.
+    // Nothing is read from the first connection and no new request is sent, so only a move can bring it here.
     let moved = free.command();
     assert_eq!((&moved[0][..], &moved[1][..]), ("CACHE.GET", "000000000000000d"));
     free.send(hit(&moved[2]));
     assert_eq!(fourth.command()[0], moved[2]);
-    // The head and the write are where they were, once.
+    // The head and the write stay on the first connection and are sent once.
     full.send(hit(&command[2]));
     assert_eq!(first.command()[0], command[2]);
     assert_eq!(full.command()[0], "CACHE.SET");
@@ -649,7 +678,7 @@
 // ---- clients that pipeline ----
 
 #[test]
-fn a_thousand_commands_in_one_write_are_answered_in_their_order_and_those_past_the_depth_are_refused() {
+fn a_thousand_commands_in_one_write_are_answered_in_order_and_those_beyond_the_depth_rejected() {
     for depth in [128, 1_000] {
         let node = answering(|c| Some(hit(&String::from_utf8_lossy(c.arg(2)))));
         let mut server = Server::many(0);
@@ -669,16 +698,19 @@
                 assert!(answer[0].starts_with("-BUSY"), "{answer:?}");
             }
         }
-        // The module has a say as well; the bound of a connection is no longer in the way.
-        assert!(if depth == 128 { served >= 128 } else { served > 128 }, "{served} with {depth}");
+        // Admission control limits as well; with 1000 the limit per connection is not reached.
+        assert!(
+            if depth == 128 { served >= 128 } else { served > 128 },
+            "{served} served with a depth of {depth}"
+        );
         proxy.is_well();
     }
 }
 
 #[test]
-fn whole_commands_before_half_a_one_are_answered_and_the_half_goes_nowhere() {
+fn complete_commands_before_a_partial_one_are_answered_and_the_partial_one_is_not_sent() {
     let node = Server::start();
-    let proxy = deep(&node, 32, "", narrow);
+    let proxy = start_pipelining(&node, 32, "", one_connection_per_node);
     let mut client = proxy.client();
     let half = read(3, "half", 15_000);
     client.send([&read(1, "a", 15_000), &read(2, "b", 15_000), &half[..half.len() - 9]].concat());
@@ -694,23 +726,23 @@
 }
 
 #[test]
-fn a_client_that_pipelines_and_never_reads_costs_others_neither_time_nor_memory() {
+fn a_pipelining_client_that_never_reads_does_not_delay_others_or_exhaust_memory() {
     let node = answering(|_| Some(hit(&"v".repeat(2_000))));
     let mut server = Server::many(0);
     server.addresses.push(node);
-    let proxy = deep(&server, 32, "", |c| c["limits"]["memory_mb"] = json!(32));
-    let rude = proxy.client();
-    let mut writer = rude.stream.try_clone().expect("a clone");
+    let proxy = start_pipelining(&server, 32, "", |c| c["limits"]["memory_mb"] = json!(32));
+    let non_reading = proxy.client();
+    let mut writer = non_reading.stream.try_clone().expect("a clone");
     writer.set_nonblocking(true).expect("set");
     let batch: Vec<u8> = (0..100).flat_map(|i| read(i, &format!("rude{i}"), 15_000)).collect();
-    let mut polite = proxy.client();
+    let mut reading = proxy.client();
     let mut slowest = Duration::ZERO;
     for round in 0..300 {
         let _ = writer.write(&batch);
-        let begun = Instant::now();
-        polite.get(round, "read", 15_000);
-        assert_eq!(polite.command()[0].len(), 2_000);
-        slowest = slowest.max(begun.elapsed());
+        let started = Instant::now();
+        reading.get(round, "read", 15_000);
+        assert_eq!(reading.command()[0].len(), 2_000);
+        slowest = slowest.max(started.elapsed());
     }
     assert!(slowest < Duration::from_secs(2), "{slowest:?}");
     assert!(proxy.status("VmHWM") / 1024 < 24, "{} MB", proxy.status("VmHWM") / 1024);
@@ -718,7 +750,11 @@
 
 // ---- the operator's file ----
 
-fn controlled(nodes: &Server, pipeline: &str, edit: impl FnOnce(&mut Value)) -> (Proxy, Controller) {
+fn start_with_control_socket(
+    nodes: &Server,
+    pipeline: &str,
+    edit: impl FnOnce(&mut Value),
+) -> (Proxy, Controller) {
     let socket = scratch("control.sock");
     let text = format!("version = 1\n[control]\nsocket = {socket:?}\n[pipeline]\n{pipeline}");
     let proxy = Proxy::operated(nodes, &text, edit);
@@ -727,7 +763,7 @@
 }
 
 #[test]
-fn a_depth_past_the_platforms_stops_the_start_with_a_line_for_each_key() {
+fn a_depth_above_the_platform_limit_fails_startup_with_one_line_per_key() {
     let file = scratch("operator.toml");
     std::fs::write(&file, "version = 1\n[pipeline]\nreads = 40\nwrites = 33\n").expect("written");
     let config = scratch("config.json");
@@ -748,32 +784,33 @@
 }
 
 #[test]
-fn a_platforms_depth_below_the_files_is_refused_while_deep_and_loses_nothing() {
+fn a_platform_depth_below_the_operators_is_rejected_without_losing_pipelined_commands() {
     let nodes = Server::start();
-    let (proxy, mut controller) = controlled(&nodes, "reads = 6\n", once);
-    let (mut clients, mut deep) = behind_one_another(&proxy, &nodes, 5);
+    let (proxy, mut controller) =
+        start_with_control_socket(&nodes, "reads = 6\n", one_connection_and_attempt);
+    let (mut clients, mut start_pipelining) = pipeline_reads(&proxy, &nodes, 5);
     let mut new: Value = serde_json::from_str(&proxy.text()).expect("json");
     new["settings"]["caps"]["streams_per_conn"] = json!(2);
-    let told = controller.request(json!({"op": "reconfigure", "generation": 1, "config": new}));
+    let reply = controller.request(json!({"op": "reconfigure", "generation": 1, "config": new}));
     let line = "pipeline.reads: is 6; settings.caps.streams_per_conn allows 2";
-    assert_eq!(told["error"]["message"], line, "{told}");
-    // The sixth still fits, a seventh does not, and a write has no second place.
+    assert_eq!(reply["error"]["message"], line, "{reply}");
+    // A sixth read still fits, a seventh does not, and writes are not pipelined.
     let mut more = [proxy.client(), proxy.client(), proxy.client()];
     more[0].get(6, "read", 15_000);
-    deep.command();
+    start_pipelining.command();
     more[1].get(7, "read", 15_000);
     more[2].set(8, "once", 15_000, "v");
     more[1..].iter_mut().for_each(|c| assert!(c.line().starts_with("-BUSY")));
-    (0..6).for_each(|i| deep.send(hit(&format!("{i}"))));
+    (0..6).for_each(|i| start_pipelining.send(hit(&format!("{i}"))));
     for (i, client) in clients.iter_mut().chain(&mut more[..1]).enumerate() {
         assert_eq!(client.command()[0], format!("{i}"));
     }
 }
 
 #[test]
-fn unless_the_operator_says_so_nothing_is_written_behind_what_is_not_answered() {
+fn by_default_no_command_is_written_behind_an_unanswered_one() {
     let nodes = Server::start();
-    let proxy = Proxy::with(&nodes, once);
+    let proxy = Proxy::with(&nodes, one_connection_and_attempt);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.get(1, "read", 15_000);
     let (mut at_node, _) = nodes.command();
@@ -785,10 +822,10 @@
 }
 
 #[test]
-fn commands_that_are_ready_together_leave_in_one_write_and_what_broke_is_told() {
+fn commands_ready_together_leave_in_one_write_and_broken_pipelines_are_reported() {
     for (file, writes) in [("reads = 32\n", 1), ("reads = 32\nbatch_bytes = 1\n", 8)] {
         let node = Server::start();
-        let (proxy, mut controller) = controlled(&node, file, once);
+        let (proxy, mut controller) = start_with_control_socket(&node, file, one_connection_and_attempt);
         let mut client = proxy.client();
         client.get(1, "read", 15_000);
         let (mut at_node, _) = node.command();
@@ -816,17 +853,18 @@
 }
 
 #[test]
-fn a_command_waits_for_others_only_where_the_operator_says_so() {
+fn commands_are_delayed_for_batching_only_if_the_operator_configures_it() {
     let node = Server::start();
-    let (proxy, mut controller) = controlled(&node, "reads = 32\nbatch_delay_us = 5000\n", once);
+    let (proxy, mut controller) =
+        start_with_control_socket(&node, "reads = 32\nbatch_delay_us = 5000\n", one_connection_and_attempt);
     let mut clients = [proxy.client(), proxy.client()];
     clients[0].get(1, "read", 15_000);
     let (mut at_node, _) = node.command();
     at_node.send(hit("first"));
     clients[0].command();
     let mut writes = || {
-        let told = controller.ok(json!({"op": "status"}));
-        told["pipelines"]["writes"].as_u64().expect("a count")
+        let reply = controller.ok(json!({"op": "status"}));
+        reply["pipelines"]["writes"].as_u64().expect("a count")
     };
     let (before, mut together) = (writes(), 0);
     for _ in 0..10 {
@@ -838,8 +876,8 @@
         together += 1;
     }
     assert!(writes() - before < 2 * together, "{} writes for {together} pairs", writes() - before);
-    let begun = Instant::now();
+    let started = Instant::now();
     clients[0].get(1, "read", 15_000);
     at_node.command();
-    assert!(begun.elapsed() >= Duration::from_micros(4_500), "{:?}", begun.elapsed());
+    assert!(started.elapsed() >= Duration::from_micros(4_500), "{:?}", started.elapsed());
 }
