--- a/crates/proxy/tests/library.rs
+++ b/crates/proxy/tests/library.rs
@@ -1,4 +1,4 @@
-//! A common client library, as it comes, in both protocols; and through it what a session is.
+//! Sessions of an unmodified, common Redis client library, in RESP2 and RESP3.
 
 use redis::{Client, Connection, RedisResult, Value};
 use testkit::process::{Folder, Instance};
@@ -13,7 +13,7 @@
 
 fn start(operator: &str) -> Setting {
     let mut config = WorldConfig::new(3, 4, 1);
-    config.boxes.iter_mut().step_by(2).for_each(|b| (b.speech, b.pushes) = (Speech::Three, 0.3));
+    config.boxes.iter_mut().step_by(2).for_each(|node| (node.speech, node.pushes) = (Speech::Three, 0.3));
     let world = World::start(config);
     let folder = Folder::new("library").expect("a folder");
     let config = world.proxy_config(0, nobody());
@@ -25,7 +25,7 @@
     Setting { proxy, _world: world, _folder: folder }
 }
 
-/// Connects as a program would, until the proxy listens.
+/// Connects through the library, retrying until the proxy listens.
 fn connect(setting: &Setting, user: &str, query: &str) -> RedisResult<Connection> {
     let client = Client::open(format!("redis://{user}{}/{query}", setting.proxy.address))?;
     let begun = std::time::Instant::now();
@@ -42,24 +42,27 @@
 }
 
 #[test]
-fn a_library_asks_in_both_protocols_and_gets_the_same() {
+fn a_client_library_gets_the_same_replies_in_both_protocols() {
     let setting = start("version = 1\nboxes.resp3 = true");
-    let mut two = connect(&setting, "", "").expect("connected");
-    let mut three = connect(&setting, "", "?protocol=resp3").expect("connected");
+    let mut resp2 = connect(&setting, "", "").expect("connected");
+    let mut resp3 = connect(&setting, "", "?protocol=resp3").expect("connected");
     let text = |value: &Value| match value {
         Value::BulkString(bytes) => String::from_utf8_lossy(bytes).into_owned(),
         Value::VerbatimString { text, .. } => text.clone(),
         other => panic!("{other:?}"),
     };
     for key in 0..24 {
-        let a = get(&mut two, key, &format!("two{key}")).expect("served");
-        let b = get(&mut three, key, &format!("three{key}")).expect("served");
-        assert_eq!(text(&a[0]), text(&b[0]));
-        assert!(text(&a[0]).starts_with(&format!("{key:016x}:")));
-        assert_eq!((a.len(), b.len(), &a[2], &b[2]), (3, 3, &Value::Nil, &Value::Nil));
+        let resp2_reply = get(&mut resp2, key, &format!("two{key}")).expect("served");
+        let resp3_reply = get(&mut resp3, key, &format!("three{key}")).expect("served");
+        assert_eq!(text(&resp2_reply[0]), text(&resp3_reply[0]));
+        assert!(text(&resp2_reply[0]).starts_with(&format!("{key:016x}:")));
+        assert_eq!(
+            (resp2_reply.len(), resp3_reply.len(), &resp2_reply[2], &resp3_reply[2]),
+            (3, 3, &Value::Nil, &Value::Nil)
+        );
     }
-    // What such a library may be told to send.
-    for connection in [&mut two, &mut three] {
+    // Other commands that such a library may send.
+    for connection in [&mut resp2, &mut resp3] {
         let id: i64 = redis::cmd("CLIENT").arg("ID").query(connection).expect("an id");
         assert!(id > 0);
         let unknown: RedisResult<Value> = redis::cmd("GET").arg("x").query(connection);
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn a_library_logs_in_or_is_told_why_not() {
+fn a_client_library_logs_in_or_gets_the_reason_for_its_rejection() {
     let hashed = session::PasswordHash::new(b"swap", [1; session::SALT_BYTES]);
     let setting = start(&format!(
         "version = 1\nboxes.resp3 = true\n[[clients.users]]\nname = \"kiosk\"\npassword = \"{hashed}\"\n"
@@ -78,8 +81,8 @@
     for query in ["", "?protocol=resp3"] {
         let mut kiosk = connect(&setting, "kiosk:swap@", query).expect("connected");
         assert_eq!(get(&mut kiosk, 1, &format!("k{query}")).expect("served").len(), 3);
-        let wrong = connect(&setting, "kiosk:swop@", query).err().expect("refused").to_string();
-        assert!(wrong.to_lowercase().contains("password") || wrong.contains("WRONGPASS"), "{wrong}");
+        let error = connect(&setting, "kiosk:swop@", query).err().expect("refused").to_string();
+        assert!(error.to_lowercase().contains("password") || error.contains("WRONGPASS"), "{error}");
     }
     let refused = connect(&setting, "", "").and_then(|mut c| get(&mut c, 1, "n")).expect_err("refused");
     assert!(refused.to_string().contains("NOAUTH"), "{refused}");
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -1,5 +1,5 @@
-//! What operators and the platform do to a proxy in service: calls at the second address, figures, and upgrades in
-//! which a new process is started beside the old one on the platform's own listening socket.
+//! Operation of a proxy in service: calls at the admin address, metrics, and upgrades in which a new process starts
+//! beside the old one on a listening socket that the platform owns.
 
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -10,47 +10,47 @@
 use testkit::program;
 use testkit::scripted::*;
 
-/// Calls, and takes the whole answer.
-fn call(address: SocketAddr, line: &str) -> String {
+/// Sends a line to the admin address and returns the whole answer.
+fn call_admin(address: SocketAddr, line: &str) -> String {
     let mut caller = Peer::connect(address);
     caller.send(format!("{line}\n"));
     String::from_utf8(caller.rest()).expect("text")
 }
 
-/// Waits until a call is answered so.
-fn until(address: SocketAddr, line: &str, answer: &str) {
-    let begun = Instant::now();
+/// Waits until a call gets the expected answer.
+fn wait_for_answer(address: SocketAddr, line: &str, answer: &str) {
+    let started = Instant::now();
     loop {
-        if std::net::TcpStream::connect(address).is_ok() && call(address, line) == answer {
+        if std::net::TcpStream::connect(address).is_ok() && call_admin(address, line) == answer {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "{line} is not answered {answer:?}");
+        assert!(started.elapsed() < PATIENCE, "{line} was not answered with {answer:?} in time");
     }
 }
 
-/// The figures by name, each with its kind.
-fn figures(address: SocketAddr) -> BTreeMap<String, (u64, String)> {
-    let text = call(address, "show-stat");
+/// Returns value and kind of each metric by name.
+fn metrics(address: SocketAddr) -> BTreeMap<String, (u64, String)> {
+    let text = call_admin(address, "show-stat");
     let lines = text.strip_suffix("end\n").expect("a last line").lines();
-    let figure = |line: &str| {
-        let (name, told) = line.split_once(':').expect("a name");
-        let (value, kind) = told.split_once('|').expect("a kind");
+    let metric = |line: &str| {
+        let (name, reply) = line.split_once(':').expect("a name");
+        let (value, kind) = reply.split_once('|').expect("a kind");
         (name.to_owned(), (value.parse().expect("a number"), kind.to_owned()))
     };
-    lines.map(figure).collect()
+    lines.map(metric).collect()
 }
 
-/// A proxy with a second address.
-fn with_admin(nodes: &Server) -> (Proxy, SocketAddr) {
+/// Starts a proxy with an admin address.
+fn start_with_admin(nodes: &Server) -> (Proxy, SocketAddr) {
     let admin = nobody();
     (Proxy::with(nodes, |c| c["admin_addr"] = json!(admin.to_string())), admin)
 }
 
 #[test]
-fn the_figures_count_what_clients_and_nodes_saw() {
+fn metrics_count_requests_by_outcome_and_class() {
     let nodes = Server::many(2);
-    let (proxy, admin) = with_admin(&nodes);
-    until(admin, "ready", "done\n");
+    let (proxy, admin) = start_with_admin(&nodes);
+    wait_for_answer(admin, "ready", "done\n");
     let mut client = proxy.client();
     let mut peers = Vec::new();
     for key in 0..5 {
@@ -65,25 +65,25 @@
     assert_eq!(client.line(), "-ERR failed");
     client.get(9, "read", 15_000);
     let (i, _) = nodes.any(&mut peers);
-    let told = figures(admin);
-    let figure = |name: &str| told[name].clone();
-    assert_eq!(figure("svc.success.read"), (5, "c".into()));
-    assert_eq!(figure("svc.failure.once"), (1, "c".into()));
+    let reply = metrics(admin);
+    let metric = |name: &str| reply[name].clone();
+    assert_eq!(metric("svc.success.read"), (5, "c".into()));
+    assert_eq!(metric("svc.failure.once"), (1, "c".into()));
     for none in ["svc.success.once", "svc.success.put", "svc.busy.read", "svc.busy.once", "svc.failure.read"]
     {
-        assert_eq!(figure(none), (0, "c".into()), "{none}");
+        assert_eq!(metric(none), (0, "c".into()), "{none}");
     }
-    assert_eq!(figure("svc.backend_calls"), (7, "c".into()));
-    assert_eq!(figure("svc.inflight"), (1, "g".into()));
-    assert_eq!(figure("svc.hosts_listed"), (2, "g".into()));
-    assert_eq!(figure("svc.hosts_down"), (0, "g".into()));
+    assert_eq!(metric("svc.backend_calls"), (7, "c".into()));
+    assert_eq!(metric("svc.inflight"), (1, "g".into()));
+    assert_eq!(metric("svc.hosts_listed"), (2, "g".into()));
+    assert_eq!(metric("svc.hosts_down"), (0, "g".into()));
     peers[i].send(hit("v"));
     assert_eq!(client.command()[0], "v");
-    assert_eq!(figures(admin)["svc.inflight"].0, 0);
+    assert_eq!(metrics(admin)["svc.inflight"].0, 0);
 }
 
 #[test]
-fn a_node_that_drains_or_refuses_connections_is_listed_and_down() {
+fn draining_and_unreachable_nodes_are_counted_as_listed_and_down() {
     let node = Server::start();
     let admin = nobody();
     let proxy = Proxy::with(&node, |c| {
@@ -101,70 +101,70 @@
         peers[i].send(hit("v"));
         assert_eq!(client.command()[0], "v");
     }
-    let told = figures(admin);
-    assert_eq!((told["svc.hosts_listed"].0, told["svc.hosts_down"].0), (3, 2));
+    let reply = metrics(admin);
+    assert_eq!((reply["svc.hosts_listed"].0, reply["svc.hosts_down"].0), (3, 2));
 }
 
 #[test]
-fn callers_that_say_nothing_or_nonsense_keep_nobody_from_an_answer() {
-    let (proxy, admin) = with_admin(&Server::start());
-    until(admin, "ready", "done\n");
-    // More of them than there are places, some with half a call.
+fn silent_or_invalid_admin_callers_do_not_block_others() {
+    let (proxy, admin) = start_with_admin(&Server::start());
+    wait_for_answer(admin, "ready", "done\n");
+    // More callers than the admin address serves at once, half of them with a partial line.
     let mut silent: Vec<Peer> = (0..60).map(|_| Peer::connect(admin)).collect();
     silent.iter_mut().step_by(2).for_each(|peer| peer.send("rea"));
-    assert_eq!(call(admin, "ready"), "done\n");
-    assert!(call(admin, "show-stat").ends_with("end\n"));
-    for wrong in ["", "disable", "READY", &"x".repeat(4 << 10)] {
-        assert!(call(admin, wrong).starts_with("error "), "{wrong:.20}");
+    assert_eq!(call_admin(admin, "ready"), "done\n");
+    assert!(call_admin(admin, "show-stat").ends_with("end\n"));
+    for invalid in ["", "disable", "READY", &"x".repeat(4 << 10)] {
+        assert!(call_admin(admin, invalid).starts_with("error "), "{invalid:.20}");
     }
     proxy.is_well();
 }
 
-/// A proxy on a listening socket that somebody else keeps, at an address of its own for operators.
-fn beside(socket: &TcpListener, nodes: &Server, admin: SocketAddr) -> Proxy {
+/// Starts a proxy on an inherited listening socket, with an admin address of its own.
+fn start_on_socket(socket: &TcpListener, nodes: &Server, admin: SocketAddr) -> Proxy {
     let mut config = config(&nodes.addresses);
     config["listen"] = json!(socket.local_addr().expect("an address").to_string());
     let mut shell = Command::new("/bin/sh");
     let line = format!("exec 5<&0 0</dev/null; exec {}", program("trestlesill").display());
     let inherited = OwnedFd::from(socket.try_clone().expect("a second descriptor"));
     shell.args(["-c", &line]).stdin(Stdio::from(inherited));
-    // The variable counts, since the file is the same for both processes.
+    // The descriptor comes by the environment, since the file is the same for both processes.
     shell.env("NODE_LISTEN_FD", "5");
     config["admin_addr"] = json!(admin.to_string());
     Proxy::by(shell, config)
 }
 
 #[test]
-fn a_new_process_takes_over_while_the_old_one_ends_and_no_request_is_lost() {
+fn a_new_process_takes_over_the_listening_socket_without_losing_requests() {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let nodes = Server::many(1);
     let (first, second) = (nobody(), nobody());
-    let mut old = beside(&socket, &nodes, first);
-    until(first, "ready", "done\n");
+    let mut old = start_on_socket(&socket, &nodes, first);
+    wait_for_answer(first, "ready", "done\n");
     let (mut client, mut peers) = (old.client(), Vec::new());
     client.get(1, "read", 15_000);
     let (i, _) = nodes.any(&mut peers);
-    // The new one starts beside it, and answers for itself.
-    let new = beside(&socket, &nodes, second);
-    until(second, "ready", "done\n");
+    // The new process starts beside it and becomes ready by itself.
+    let new = start_on_socket(&socket, &nodes, second);
+    wait_for_answer(second, "ready", "done\n");
     old.signal("-TERM");
-    until(first, "ready", "error not ready\n");
-    // What the old one had taken is answered, and it ends by itself.
+    wait_for_answer(first, "ready", "error not ready\n");
+    // The old process answers its accepted requests and then exits by itself.
     peers[i].send(hit("old"));
     assert_eq!(client.command()[0], "old");
     assert!(old.wait().success());
     assert!(client.rest().is_empty());
-    // Newcomers reach the new one at the same address, also those that came while nobody accepted.
+    // New clients reach the new process at the same address, as do those that connected while no process accepted.
     let mut client = new.client();
     client.get(2, "read", 15_000);
     let (i, _) = nodes.any(&mut peers);
     peers[i].send(hit("new"));
     assert_eq!(client.command()[0], "new");
-    assert_eq!(figures(second)["svc.success.read"].0, 1);
+    assert_eq!(metrics(second)["svc.success.read"].0, 1);
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_is_one_plain_line() {
+fn an_invalid_listen_descriptor_is_reported_in_one_line() {
     for (number, named) in [("5", "not a socket"), ("77", "77"), ("five", "no number")] {
         let mut shell = Command::new("/bin/sh");
         shell.args(["-c", &format!("exec 5</dev/null; exec {}", program("trestlesill").display())]);
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,17 +1,17 @@
-//! The real proxy from outside: the built binary between scripted clients, cache nodes and discovery.
+//! End-to-end tests of the built binary between scripted clients, cache nodes and discovery.
 
 use serde_json::json;
 use std::collections::VecDeque;
 use std::io::Read;
 use testkit::scripted::*;
 
-/// Starts a proxy that sends a request twice at the most.
-fn twice(nodes: &Server) -> Proxy {
+/// Starts a proxy that makes at most two attempts per request.
+fn start_with_two_attempts(nodes: &Server) -> Proxy {
     Proxy::with(nodes, |c| c["settings"]["caps"]["attempts_cap"] = json!(2))
 }
 
 #[test]
-fn reads_and_writes_pass_unchanged_but_for_the_wait() {
+fn requests_are_forwarded_unchanged_except_for_the_remaining_wait() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
@@ -23,7 +23,7 @@
     assert!(wait > 0 && wait < 9_000, "{wait}");
     at_node.send(hit("value"));
     assert_eq!(client.command(), ["value", "hit", "$-1"]);
-    // The connection serves again; a write keeps its key and value.
+    // The connection is reused; a write keeps its key and value.
     client.set(1, "put", 9_000, "two\r\nlines");
     let command = at_node.command();
     assert!(command[3].starts_with("c=put,d=") && command[3].ends_with(",k=5c0f"), "{command:?}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn pipelined_commands_are_answered_in_their_order() {
+fn pipelined_commands_are_answered_in_order() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
@@ -51,13 +51,13 @@
 }
 
 #[test]
-fn a_connection_refused_is_known_never_to_have_run() {
+fn an_unsafe_write_is_retried_after_a_refused_connection() {
     let node = Server::start();
     let proxy = Proxy::with(&node, |c| {
         let hosts = [host("s-1", nobody(), "up"), host("s-0", node.addresses[0], "up")];
         c["known"] = list(41, true, &hosts);
     });
-    // An unsafe class goes on to the other node, whichever its key names first.
+    // A write that is not safe to repeat goes to the other node, whichever node its key prefers.
     let mut client = proxy.client();
     let mut peers = Vec::new();
     for key in 0..8 {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn with_no_node_to_connect_to_a_request_is_refused() {
+fn a_request_is_rejected_if_no_node_accepts_connections() {
     let proxy = Proxy::with(&Server::many(0), |c| {
         c["known"] = list(41, true, &[host("s-1", nobody(), "up")]);
     });
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn a_break_after_the_last_byte_may_have_run() {
+fn after_a_close_behind_a_complete_request_reads_are_retried_and_unsafe_writes_fail() {
     let nodes = Server::many(2);
-    let proxy = twice(&nodes);
+    let proxy = start_with_two_attempts(&nodes);
     let mut client = proxy.client();
-    // A read is asked for again.
+    // A read is retried.
     client.get(1, "read", 15_000);
     drop(nodes.command());
     let (mut peer, _) = nodes.command();
     peer.send(hit("v"));
     assert_eq!(client.command()[0], "v");
-    // An unsafe write fails, and goes nowhere else.
+    // An unsafe write fails and is not retried.
     client.set(1, "once", 15_000, "v");
     assert_eq!(peer.command()[0], "CACHE.SET");
     drop(peer);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn connections_that_break_cost_a_node_neither_its_requests_nor_its_keys() {
+fn connection_resets_do_not_move_requests_or_keys_away_from_a_node() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_node_that_answers_late_keeps_fewer_of_its_keys() {
+fn a_slow_node_receives_fewer_of_its_keys() {
     const KEYS: u64 = 48;
     let nodes = Server::many(3);
     let proxy = Proxy::with(&nodes, |c| {
@@ -126,8 +126,8 @@
     });
     let mut clients: Vec<Peer> = (0..8).map(|_| proxy.client()).collect();
     let mut peers = Vec::new();
-    // Asks for all keys, a few at a time, and tells how many came to the first node. Some answers take their
-    // time: those of every second key, which says nothing of a node, or those of the first node.
+    // Requests all keys, a few at a time, and returns how many were sent to the first node. Some responses are delayed:
+    // those of every second key, which is no sign of a slow node, or those of the first node.
     let mut round = |late: fn(usize, u64) -> bool| {
         let mut at_first = 0;
         for keys in (0..KEYS).collect::<Vec<_>>().chunks(clients.len()) {
@@ -161,16 +161,19 @@
         round(|at, _| at == 0);
     }
     let after = round(|_, _| false);
-    assert!(before >= 8 && 2 * after <= before + 4, "{before} keys at the slow node, then {after}");
+    assert!(
+        before >= 8 && 2 * after <= before + 4,
+        "{before} keys at the slow node before it was slow, {after} after"
+    );
 }
 
 #[test]
-fn a_node_too_slow_for_the_time_left_is_passed_over() {
+fn a_node_too_slow_for_the_remaining_wait_is_skipped() {
     let nodes = Server::many(2);
     let proxy = Proxy::start(&nodes);
     let mut clients: Vec<Peer> = (0..8).map(|_| proxy.client()).collect();
     let mut peers = Vec::new();
-    // Each key's node is the one that it is asked at; the first one takes its time.
+    // Each key goes to its preferred node; the first node delays its responses.
     let mut slow = 0;
     let mut waiting = Vec::new();
     for (key, client) in (0..).zip(&mut clients) {
@@ -193,14 +196,14 @@
     for (key, client) in (0..).zip(&mut clients) {
         client.get(key, "read", 2_200);
         let (i, _) = nodes.any(&mut peers);
-        assert_eq!(peers[i].at, 1, "a hit at the other node takes longer than the client waits");
+        assert_eq!(peers[i].at, 1, "sent to the slow node, whose hits take longer than the client waits");
         peers[i].send(hit("v"));
         assert_eq!(client.command()[0], "v");
     }
 }
 
 #[test]
-fn clients_in_a_hurry_close_no_valve_to_others() {
+fn timeouts_of_impatient_clients_do_not_trigger_admission_control_for_others() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut clients: Vec<Peer> = (0..8).map(|_| proxy.client()).collect();
@@ -212,14 +215,14 @@
         peers[i].send(hit("v"));
         assert_eq!(clients[0].command()[0], "v");
     }
-    // Many wait for less time than an answer takes, so none is served.
+    // Many requests have a shorter deadline than a response takes, so none is served.
     for round in 1..8 {
         for (key, client) in (100 * round..).zip(&mut clients) {
             client.get(key, "read", 100);
         }
         clients.iter_mut().for_each(|c| assert!(c.line().starts_with("-BUSY")));
     }
-    // Others have the usual time, and nothing is wrong with the node.
+    // Others have the usual deadline, and the node is healthy.
     for key in 2_000..2_030 {
         clients[0].get(key, "read", 15_000);
         loop {
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_where_nodes_turn_work_away() {
+fn rejections_carry_a_retry_delay_while_nodes_are_overloaded() {
     let node = Server::start();
     let proxy = Proxy::with(&node, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
     let mut client = proxy.client();
@@ -249,21 +252,24 @@
         }
         let line = client.line();
         let wait = line.strip_prefix("-BUSY ").and_then(|ms| ms.parse::<u64>().ok());
-        wait.unwrap_or_else(|| panic!("{line:?} does not say when"))
+        wait.unwrap_or_else(|| panic!("{line:?} has no retry delay"))
     };
     let first = ask(b"-BUSY\r\n");
     let later = (0..9).map(|_| ask(b"-BUSY\r\n")).max();
-    // The longest that clients heed, here a second.
-    assert!(first > 0 && first < 1_000 && later == Some(1_000), "{first} ms, then {later:?}");
+    // The delay rises to the longest that clients obey, here 1000 ms.
+    assert!(
+        first > 0 && first < 1_000 && later == Some(1_000),
+        "first retry delay {first} ms, longest later one {later:?} ms"
+    );
     for _ in 0..60 {
         ask(&hit("v"));
     }
-    assert!(ask(b"-BUSY\r\n") <= 2 * first, "it is over");
+    assert!(ask(b"-BUSY\r\n") <= 2 * first, "the retry delay did not fall after the overload");
 }
 
 #[test]
-fn a_break_before_the_last_byte_is_no_run() {
-    // More than sockets hold, on one connection: unsafe writes of which the last are not written out.
+fn an_incompletely_written_request_counts_as_not_executed() {
+    // More than the socket buffers hold, on one connection: the last unsafe writes are not fully written.
     const WRITES: u64 = 160;
     let nodes = Server::many(2);
     let proxy = Proxy::with(&nodes, |c| {
@@ -278,7 +284,7 @@
         let (client, id) = (&mut clients[(number % 2) as usize], format!("{number:x}"));
         client.send(encode(&["CACHE.SET", "1", &id, "c=once,d=15000", &value]));
     }
-    // The first of them arrived whole, the last did not: no node is left, so those that never ran are refused.
+    // The first write arrived complete, the last did not. No node is left, so those that never ran are rejected.
     let mut first = nodes.accept();
     assert_eq!(first.command()[2], "0");
     proxy.is_well();
@@ -294,9 +300,9 @@
 }
 
 #[test]
-fn a_node_that_is_busy_has_not_run_it_and_one_with_an_error_may_have() {
+fn an_unsafe_write_is_retried_after_busy_but_not_after_an_error() {
     let nodes = Server::many(2);
-    let proxy = twice(&nodes);
+    let proxy = start_with_two_attempts(&nodes);
     let mut client = proxy.client();
     client.set(1, "once", 15_000, "v");
     let (mut first, _) = nodes.command();
@@ -308,7 +314,7 @@
 }
 
 #[test]
-fn a_keyed_write_goes_out_again_only_within_its_window() {
+fn a_keyed_write_is_retried_only_within_its_deduplication_window() {
     for (window, again) in [(5_000_000_000u64, true), (100_000_000, false)] {
         let nodes = Server::many(2);
         let proxy = Proxy::with(&nodes, |c| {
@@ -323,7 +329,7 @@
             second.send(RECEIPT);
             assert_eq!(client.command()[0], "ok");
         } else {
-            // All nodes drop repeats of this class, so the client may be told to try again.
+            // All nodes deduplicate writes of this class, so the client may be told to retry.
             assert!(client.line().starts_with("-BUSY"));
             assert!(nodes.is_untouched());
         }
@@ -331,21 +337,21 @@
 }
 
 #[test]
-fn silent_nodes_do_not_keep_a_client_past_its_time() {
+fn silent_nodes_do_not_hold_a_client_past_its_deadline() {
     for (class, answer) in [("read", "-BUSY"), ("once", "-ERR failed")] {
         let nodes = Server::many(2);
-        let proxy = twice(&nodes);
+        let proxy = start_with_two_attempts(&nodes);
         let mut client = proxy.client();
         client.set(1, class, 600, "v");
         let (mut silent, _) = nodes.command();
         assert!(client.line().starts_with(answer));
-        // The attempt is given up with its connection.
+        // The attempt is abandoned and its connection closed.
         assert!(silent.rest().is_empty());
     }
 }
 
 #[test]
-fn a_second_copy_wins_and_the_first_is_called_off() {
+fn a_hedged_read_that_answers_first_cancels_the_original() {
     let nodes = Server::many(2);
     let proxy = Proxy::with(&nodes, |c| c["settings"]["categories"][0]["promise_ns"] = json!(200_000_000));
     let mut client = proxy.client();
@@ -359,10 +365,10 @@
 }
 
 #[test]
-fn late_replies_are_dropped_by_their_position() {
+fn late_responses_are_discarded_by_their_position_in_the_pipeline() {
     let node = Server::start();
     let proxy = Proxy::operated(&node, "version = 1\npipeline.reads = 32", |c| {
-        // One connection for each node, and one try for each request.
+        // One connection per node and one attempt per request.
         c["settings"]["n_instances"] = json!(16);
         c["settings"]["caps"]["attempts_cap"] = json!(1);
     });
@@ -379,7 +385,7 @@
 }
 
 #[test]
-fn an_idle_time_that_nodes_do_not_keep_is_not_tried_again() {
+fn idle_connections_are_not_reused_once_nodes_reset_others_of_that_idle_time() {
     const KEYS: u64 = 40;
     let nodes = Server::many(12);
     let proxy = Proxy::with(&nodes, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
@@ -391,8 +397,9 @@
         peers[i].send(hit("v"));
         assert_eq!(client.command()[0], "v");
     }
-    // Idle is what they have to be; the nodes then reset what comes, though they had promised a minute. Beside other
-    // tests the first part takes seconds: after so long all have rested for 4 to 8 s, which is one class of rests.
+    // After an idle time the nodes reset reused connections, although they announce an idle time-out of a minute. The
+    // first part can take seconds when other tests run, so after this pause every connection has been idle for 4 to 8 s,
+    // which is one class of idle times.
     std::thread::sleep(std::time::Duration::from_millis(4_300));
     let mut old = peers.len();
     assert!(old >= 8);
@@ -409,18 +416,18 @@
             assert_eq!(client.command()[0], "v");
         }
     }
-    assert!(resets < 6, "{resets} old connections were used again");
+    assert!(resets < 6, "{resets} idle connections were reused, expected fewer than 6");
 }
 
 #[test]
-fn connections_that_break_now_and_then_are_no_reason_to_open_one_for_each_request() {
+fn occasional_resets_do_not_disable_connection_reuse() {
     let nodes = Server::many(8);
     let proxy = Proxy::start(&nodes);
     let mut client = proxy.client();
     let mut peers: Vec<Peer> = Vec::new();
     let mut broken = Vec::new();
     let mut ask = |peers: &mut Vec<Peer>, breaks: bool| {
-        // Each connection has been idle for a while when it is used again.
+        // Each connection has been idle for 40 ms when it is reused.
         std::thread::sleep(std::time::Duration::from_millis(40));
         for key in 0..24 {
             client.get(key, "read", 15_000);
@@ -438,23 +445,23 @@
     ask(&mut peers, true);
     let before = peers.len();
     (0..3).for_each(|_| ask(&mut peers, false));
-    // One to each node that broke at the most; a new one each time would be 24.
-    assert!(peers.len() <= before + 2, "{} connections, then {}", before, peers.len());
+    // At most one new connection to each node that reset one; without reuse there would be 24.
+    assert!(peers.len() <= before + 2, "{} connections before, {} after", before, peers.len());
 }
 
 #[test]
-fn a_draining_node_gets_nothing_new() {
+fn a_draining_node_gets_no_new_requests() {
     let (nodes, discovery) = (Server::many(2), Server::start());
     let proxy = Proxy::with(&nodes, |c| {
         subscribed(c, &discovery);
     });
     let host_of = |at: usize, health| host(&format!("s-{at}"), nodes.addresses[at], health);
-    let mut begin = discovery.accept();
-    assert_eq!(begin.request(), "/catalog/members?since=41&timeout_ms=0");
-    begin.list(&list(41, false, &[]));
+    let mut first_call = discovery.accept();
+    assert_eq!(first_call.request(), "/catalog/members?since=41&timeout_ms=0");
+    first_call.list(&list(41, false, &[]));
     let mut watch = discovery.accept();
     assert!(watch.request().starts_with("/catalog/members?since=41&timeout_ms=1"));
-    // One node drains, the other is said so in chunks that split anywhere.
+    // The first node is reported as draining, in chunks with arbitrary boundaries.
     let body = list(42, false, &[host_of(0, "draining")]).to_string();
     watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for part in body.as_bytes().chunks(7) {
@@ -463,7 +470,7 @@
         watch.send("\r\n");
     }
     watch.send("0\r\nX-Sum: 1\r\n\r\n");
-    // The next call shows that the news was taken.
+    // The next call shows that the update has been applied.
     let mut watch = discovery.accept();
     assert!(watch.request().starts_with("/catalog/members?since=42&"));
     let mut client = proxy.client();
@@ -475,7 +482,7 @@
         peer.send(hit("v"));
         assert_eq!(client.command()[0], "v");
     }
-    // Removed, and no other left: nothing is sent.
+    // The other node is removed and none is left: nothing is sent.
     watch.list(&list(43, true, &[host_of(0, "draining")]));
     assert!(discovery.accept().request().starts_with("/catalog/members?since=43&"));
     client.get(1, "read", 15_000);
@@ -484,7 +491,7 @@
 }
 
 #[test]
-fn when_discovery_fails_the_old_list_stands_and_it_is_asked_again() {
+fn after_a_discovery_failure_the_old_list_stays_in_force_and_the_call_is_repeated() {
     let (node, discovery) = (Server::start(), Server::start());
     let proxy = Proxy::with(&node, |c| {
         subscribed(c, &discovery);
@@ -496,11 +503,11 @@
         http("{\"seq\": nonsense"),
         http(&odd),
         "no HTTP at all\r\n\r\n".to_owned(),
-        // Longer than a sixteenth of the 128 MB that the proxy may have.
+        // Longer than a sixteenth of the 128 MB memory limit.
         http(&format!("{{\"seq\":99,\"whole\":true,\"hosts\":[]{}}}", " ".repeat(8 << 20))),
     ] {
         let mut call = discovery.accept();
-        // What could not be understood moved nothing on.
+        // An unusable response does not advance the version.
         assert_eq!(call.request(), "/catalog/members?since=41&timeout_ms=0");
         call.offers(&answer);
     }
@@ -512,19 +519,19 @@
     let (mut at_node, _) = node.command();
     at_node.send(hit("v"));
     assert_eq!(client.command()[0], "v");
-    // A call that hangs is given up.
+    // A call that hangs times out.
     assert!(call.rest().is_empty());
     assert_eq!(discovery.accept().request(), "/catalog/members?since=41&timeout_ms=0");
 }
 
 #[test]
-fn an_answer_that_stood_in_discoverys_queue_for_two_seconds_is_taken() {
+fn a_discovery_response_delayed_by_two_seconds_is_applied() {
     let (node, other, discovery) = (Server::start(), Server::start(), Server::start());
     let proxy = Proxy::with(&node, |c| subscribed(c, &discovery));
     let mut call = discovery.accept();
     call.request();
     std::thread::sleep(std::time::Duration::from_millis(1_950));
-    // Discovery has told it now: nothing new may go to the first node.
+    // Discovery now counts the proxy as notified: no new request may go to the first node.
     call.list(&list(42, true, &[host("s-9", other.addresses[0], "up")]));
     assert!(discovery.accept().request().starts_with("/catalog/members?since=42&"));
     let mut client = proxy.client();
@@ -536,7 +543,7 @@
 }
 
 #[test]
-fn the_connections_of_a_node_that_is_gone_are_given_back() {
+fn connections_to_a_removed_node_are_closed() {
     let (node, discovery) = (Server::start(), Server::start());
     let proxy = Proxy::with(&node, |c| subscribed(c, &discovery));
     let mut watch = discovery.accept();
@@ -547,11 +554,11 @@
     at_node.send(hit("v"));
     assert_eq!(client.command()[0], "v");
     watch.list(&list(42, false, &[host("s-0", node.addresses[0], "removed")]));
-    assert!(at_node.rest().is_empty(), "it ends, and nothing more comes on it");
+    assert!(at_node.rest().is_empty(), "bytes were received on a connection to a removed node");
 }
 
 #[test]
-fn an_older_list_changes_nothing_until_discovery_insists_and_is_told_once() {
+fn an_older_list_is_ignored_until_discovery_repeats_it_and_is_logged_once() {
     let (node, other, discovery) = (Server::start(), Server::start(), Server::start());
     let proxy = Proxy::with(&node, |c| subscribed(c, &discovery));
     let older = list(40, true, &[host("s-9", other.addresses[0], "up")]);
@@ -559,10 +566,14 @@
     let mut client = proxy.client();
     for (i, answer) in [&older, &delta, &older].into_iter().enumerate() {
         let mut call = discovery.accept();
-        assert_eq!(call.request(), "/catalog/members?since=41&timeout_ms=0", "nothing moved on");
+        assert_eq!(
+            call.request(),
+            "/catalog/members?since=41&timeout_ms=0",
+            "the older list advanced the version"
+        );
         call.list(answer);
         client.get(i as u64, "read", 15_000);
-        // The node of the list in force gets it still, on a new connection each time.
+        // The node of the list in force still gets the request, on a new connection each time.
         let (mut at_node, _) = node.command();
         at_node.send(hit("v"));
         assert_eq!(client.command()[0], "v");
@@ -571,19 +582,19 @@
     let mut call = discovery.accept();
     call.request();
     call.list(&older);
-    // It insists: the watch goes on from its version.
+    // Discovery repeats its list: the watch continues from that version.
     assert!(discovery.accept().request().starts_with("/catalog/members?since=40&"));
     client.get(9, "read", 15_000);
     let (mut at_other, _) = other.command();
     at_other.send(hit("w"));
     assert_eq!(client.command()[0], "w");
     let log = proxy.log();
-    let told: Vec<&str> = log.lines().filter(|l| l.contains("older")).collect();
-    assert_eq!(told, ["discovery: seq 40 is older than 41, which is in force"]);
+    let stale_lines: Vec<&str> = log.lines().filter(|l| l.contains("older")).collect();
+    assert_eq!(stale_lines, ["discovery: seq 40 is older than 41, which is in force"]);
 }
 
 #[test]
-fn a_reload_moves_to_the_discovery_that_the_new_configuration_names() {
+fn a_reload_switches_to_the_discovery_of_the_new_configuration() {
     let (nodes, old, new) = (Server::many(2), Server::start(), Server::start());
     let mut first = config(&nodes.addresses[..1]);
     first["discovery"] = json!(old.addresses[0].to_string());
@@ -591,30 +602,30 @@
     let mut second = first.clone();
     second["discovery"] = json!(new.addresses[0].to_string());
     let proxy = Proxy::with(&nodes, |c| *c = first.clone());
-    let mut begin = old.accept();
-    begin.request();
-    begin.list(&list(41, false, &[]));
+    let mut first_call = old.accept();
+    first_call.request();
+    first_call.list(&list(41, false, &[]));
     let mut watch = old.accept();
     watch.request();
     let mut waiting = proxy.client();
     waiting.get(1, "read", 15_000);
     let (mut at_node, _) = nodes.command();
-    // What can't be read, and what can't be used, changes nothing: the watch goes on.
-    for wrong in ["", "{\"listen\":", "{}"] {
-        proxy.reload(wrong);
+    // A configuration that cannot be parsed or applied changes nothing, and the watch continues.
+    for invalid in ["", "{\"listen\":", "{}"] {
+        proxy.reload(invalid);
         proxy.is_well();
     }
     watch.list(&list(42, false, &[]));
     let mut watch = old.accept();
     assert!(watch.request().starts_with("/catalog/members?since=42&"));
-    // A request that is under way outlasts the change.
+    // A request in flight survives the change.
     proxy.reload(&second.to_string());
-    let mut begin = new.accept();
-    assert_eq!(begin.request(), "/catalog/members");
+    let mut first_call = new.accept();
+    assert_eq!(first_call.request(), "/catalog/members");
     assert!(watch.rest().is_empty());
     at_node.send(hit("v"));
     assert_eq!(waiting.command()[0], "v");
-    begin.list(&list(7, true, &[host("s-1", nodes.addresses[1], "up")]));
+    first_call.list(&list(7, true, &[host("s-1", nodes.addresses[1], "up")]));
     assert!(new.accept().request().starts_with("/catalog/members?since=7&"));
     waiting.get(2, "read", 15_000);
     let (mut at_node, _) = nodes.command();
@@ -625,7 +636,7 @@
 }
 
 #[test]
-fn a_client_that_breaks_its_connection_is_not_worked_for() {
+fn a_client_reset_cancels_its_attempts() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
@@ -637,17 +648,17 @@
 }
 
 #[test]
-fn a_client_that_only_ended_its_sending_gets_its_answer() {
+fn a_half_closed_client_still_gets_its_response() {
     let nodes = Server::many(8);
     let proxy = Proxy::start(&nodes);
     for (reply, answer) in [(RECEIPT, RECEIPT), ("-BUSY\r\n", "-ERR failed\r\n")] {
         let mut client = proxy.client();
         client.get(1, "read", 15_000);
         client.stream.shutdown(std::net::Shutdown::Write).expect("shut down");
-        // Once this is answered the proxy has read the end before it.
+        // Once this is answered, the proxy has read the end of the client's stream.
         proxy.is_well();
         let (mut at_node, _) = nodes.command();
-        // Nothing more goes out for a client that may have left: its end is the one answer to what is out.
+        // No further attempt is made for a client that may have left: the open attempt decides.
         at_node.send(reply);
         assert_eq!(String::from_utf8_lossy(&client.rest()), answer);
         at_node.send("rubbish");
@@ -657,18 +668,18 @@
 }
 
 #[test]
-fn after_sigterm_all_that_was_taken_is_answered() {
+fn after_sigterm_all_accepted_requests_are_answered() {
     let node = Server::start();
     let mut proxy = Proxy::start(&node);
     let (mut waiting, mut idle) = (proxy.client(), proxy.client());
     waiting.get(1, "read", 2_500);
     let (mut at_node, _) = node.command();
     proxy.signal("-TERM");
-    // It still takes newcomers, and those that it has.
+    // It still accepts new clients and serves existing ones.
     idle.send(encode(&["PING"]));
     assert_eq!(idle.line(), "+PONG");
     proxy.is_well();
-    // The end of an idle connection shows that the window is over; what was taken is still answered.
+    // The close of an idle connection shows that the accept window is over; accepted requests are still answered.
     let mut watcher = idle;
     assert!(watcher.rest().is_empty());
     at_node.send(hit("v"));
@@ -678,7 +689,7 @@
 }
 
 #[test]
-fn what_clients_get_wrong_is_told_and_harms_nobody_else() {
+fn invalid_client_input_is_reported_and_does_not_affect_other_clients() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut good = proxy.client();
@@ -711,13 +722,13 @@
         assert!(client.line().starts_with("-ERR Protocol error"), "{broken:?}");
         assert!(client.rest().is_empty());
     }
-    // One that stops in the middle of a command is let go in the end, one that leaves there at once.
+    // A client that stalls in the middle of a command is closed after a time-out, one that leaves there at once.
     let mut slow = proxy.client();
     slow.send("*4\r\n$9\r\nCACHE");
     let mut leaving = proxy.client();
     leaving.send("*4\r\n$9\r\nCACHE");
     drop(leaving);
-    // And so is one that says nothing at all, or nothing that is a command.
+    // So are clients that send nothing, or nothing that is a command.
     let (mut silent, mut empty) = (proxy.client(), proxy.client());
     empty.send("*0\r\n");
     good.get(1, "read", 15_000);
@@ -730,7 +741,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
+fn the_id_of_an_open_request_is_rejected_as_a_duplicate() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let (mut first, mut second) = (proxy.client(), proxy.client());
@@ -741,7 +752,7 @@
     assert_eq!(second.line(), "-ERR the request id is in use");
     at_node.send(hit("v"));
     assert_eq!(first.command()[0], "v");
-    // Its request is over.
+    // The first request is complete, so its id is free.
     second.send(&same);
     assert_eq!(at_node.command()[1], "2");
     at_node.send(hit("w"));
@@ -750,7 +761,7 @@
 }
 
 #[test]
-fn a_command_may_come_byte_by_byte() {
+fn commands_and_responses_may_arrive_byte_by_byte() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
@@ -765,17 +776,17 @@
 }
 
 #[test]
-fn what_nodes_get_wrong_ends_the_connection_and_the_attempt() {
-    // An answer without a value is none, and one that nobody asked for is not taken for the next one's.
+fn an_invalid_node_response_fails_the_attempt_and_closes_the_connection() {
+    // A response without a value is invalid, and an unsolicited response is not matched to the next request.
     let unasked = format!("*3\r\n$-1\r\n$3\r\nhit\r\n$-1\r\n{RECEIPT}");
     let endless = "+".repeat(4 << 10);
-    for wrong in [
+    for invalid in [
         "?what\r\n",
         "*1\r\n*1\r\n",
         "*3\r\n$3000000000\r\nvvv",
         "*3\r\n$4194305\r\n",
         "*1\r\n$x\r\n",
-        // Too few elements, a longer value than was told, and one that is not as long as told and stays so.
+        // Too few elements, a value longer than its length, and one shorter than its length that is never completed.
         "*1\r\n$1\r\nv\r\n",
         "*3\r\n$1\r\nvv\r\n$-1\r\n$-1\r\n",
         "*3\r\n$90\r\nv\r\n$-1\r\n$-1\r\n",
@@ -785,31 +796,31 @@
         &unasked,
     ] {
         let nodes = Server::many(2);
-        let proxy = twice(&nodes);
+        let proxy = start_with_two_attempts(&nodes);
         let mut client = proxy.client();
         client.set(1, "once", 15_000, "v");
         let (mut at_node, _) = nodes.command();
-        at_node.send(wrong);
-        let begun = std::time::Instant::now();
-        assert_eq!(client.line(), "-ERR failed", "{wrong:?}");
-        assert!(begun.elapsed().as_secs() < 10, "{wrong:?} was waited for");
+        at_node.send(invalid);
+        let started = std::time::Instant::now();
+        assert_eq!(client.line(), "-ERR failed", "{invalid:?}");
+        assert!(started.elapsed().as_secs() < 10, "{invalid:?} was not rejected within 10 s");
         assert!(at_node.rest().is_empty());
         assert!(nodes.is_untouched());
     }
 }
 
 #[test]
-fn a_node_that_spoils_two_answers_in_a_row_keeps_its_keys() {
+fn a_node_with_two_malformed_responses_in_a_row_keeps_its_keys() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
     let mut peers = Vec::new();
-    let spoilt = b"*3\r\n$2\r\nspoilt\r\n";
+    let malformed = b"*3\r\n$2\r\nspoilt\r\n";
     client.get(1, "read", 15_000);
     for _ in 0..2 {
-        // A good answer right behind can't be trusted either.
+        // A valid response behind a malformed one cannot be trusted either.
         let (i, _) = node.any(&mut peers);
-        peers[i].send([&spoilt[..], &hit("behind")].concat());
+        peers[i].send([&malformed[..], &hit("behind")].concat());
         assert!(peers.remove(i).rest().is_empty());
     }
     assert!(client.line().starts_with("-BUSY"));
@@ -820,7 +831,7 @@
 }
 
 #[test]
-fn a_good_answer_serves_whatever_comes_behind_it() {
+fn a_valid_response_is_served_despite_unsolicited_bytes_behind_it() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
@@ -831,7 +842,7 @@
         assert_eq!(client.command(), ["v", "hit", "$-1"]);
         assert!(at_node.rest().is_empty());
     }
-    // A load report that can't be read takes nothing from the answer.
+    // An unreadable load report does not invalidate the response.
     client.get(1, "read", 15_000);
     let (mut at_node, _) = node.command();
     at_node.send(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n=\xff,=\r\n");
@@ -841,9 +852,9 @@
 }
 
 #[test]
-fn without_room_for_connections_idle_ones_make_room() {
+fn idle_client_connections_are_closed_when_the_connection_limit_is_reached() {
     let node = Server::start();
-    // 32 descriptors are kept back; two thirds of the others, 11, are for clients.
+    // 32 descriptors are reserved; two thirds of the others, 11, are for clients.
     let proxy = Proxy::with(&node, |c| c["limits"]["sockets"] = json!(48));
     let mut clients = Vec::new();
     for _ in 0..15 {
@@ -852,7 +863,7 @@
         assert_eq!(client.line(), "+PONG");
         clients.push(client);
     }
-    // Those that were idle longest have gone, the others are served on.
+    // The connections idle for longest are closed, the others are still served.
     assert!(clients[..4].iter_mut().all(|c| c.rest().is_empty()));
     for client in &mut clients[4..] {
         client.send(encode(&["PING"]));
@@ -861,9 +872,9 @@
 }
 
 #[test]
-fn idle_connections_to_nodes_make_room_for_clients_that_ask() {
+fn idle_node_connections_are_closed_to_make_room_for_clients() {
     let nodes = Server::many(8);
-    // Of 16 descriptors nodes may have half while there is one client.
+    // Node connections may use half of 16 descriptors while there is one client.
     let proxy = Proxy::with(&nodes, |c| c["limits"]["sockets"] = json!(48));
     let (mut asking, mut peers) = (proxy.client(), Vec::new());
     for key in 0..40 {
@@ -872,7 +883,7 @@
         peers[i].send(hit("v"));
         assert_eq!(asking.command()[0], "v");
     }
-    assert!(peers.len() > 5, "{}", peers.len());
+    assert!(peers.len() > 5, "{} node connections, expected more than 5", peers.len());
     let mut clients: Vec<Peer> = (0..10).map(|_| proxy.client()).collect();
     clients.push(asking);
     for _ in 0..2 {
@@ -881,7 +892,7 @@
             assert_eq!(client.line(), "+PONG");
         }
     }
-    // Nodes keep a third, so that a request can be sent on.
+    // A third stays for node connections, so that a request can be forwarded.
     clients[0].get(1, "read", 15_000);
     let (i, _) = nodes.any(&mut peers);
     peers[i].send(hit("v"));
@@ -889,9 +900,9 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_do_not_keep_their_places() {
+fn idle_clients_are_closed_early_when_there_are_many_of_them() {
     let node = Server::start();
-    // 32 descriptors are kept back; two thirds of the others are for clients.
+    // 32 descriptors are reserved; two thirds of the others are for clients.
     let proxy = Proxy::with(&node, |c| c["limits"]["sockets"] = json!(64));
     let mut peers = Vec::new();
     let mut ask = |client: &mut Peer| {
@@ -902,22 +913,22 @@
     };
     let mut clients: Vec<Peer> = (0..12).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(&mut ask);
-    // No place is wanted for another, yet most of them go long before the 10 s that a few may be idle.
-    let begun = std::time::Instant::now();
+    // No other client needs a descriptor, yet most are closed well before the 10 s for which a few may be idle.
+    let started = std::time::Instant::now();
     assert!(clients[0].rest().is_empty() && clients[1].rest().is_empty());
-    assert!(begun.elapsed() < std::time::Duration::from_secs(8), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < std::time::Duration::from_secs(8), "{:?}", started.elapsed());
     proxy.is_well();
 }
 
 #[test]
-fn without_descriptors_newcomers_wait_and_are_served_once_there_are_some() {
+fn without_free_descriptors_new_clients_wait_and_are_served_later() {
     let nodes = Server::many(8);
     let proxy = Proxy::starved(&nodes, 24);
     let mut clients: VecDeque<Peer> = (0..40).map(|_| proxy.client()).collect();
     for client in &mut clients {
         client.send(encode(&["PING"]));
     }
-    // Those that hold a descriptor are served on, though none is left for a cache node.
+    // Clients that hold a descriptor are still served, though none is left for a cache node.
     let first = clients.front_mut().expect("one");
     assert_eq!(first.line(), "+PONG");
     first.get(1, "read", 15_000);
@@ -934,9 +945,9 @@
 }
 
 #[test]
-fn without_room_for_values_writes_are_refused_and_reads_served() {
+fn without_memory_for_values_writes_are_rejected_and_reads_served() {
     let node = Server::start();
-    // A quarter of it is for values: four of 64 KiB.
+    // A quarter of the memory is for values: four of 64 KiB.
     let proxy = Proxy::with(&node, |c| c["limits"]["memory_mb"] = json!(1));
     let value = "x".repeat(64 << 10);
     let mut writers: Vec<Peer> = (0..5).map(|_| proxy.client()).collect();
@@ -957,11 +968,11 @@
     let (mut at_node, _) = node.command();
     at_node.send(hit("v"));
     assert_eq!(last[0].command()[0], "v");
-    // What was held is given back.
+    // Memory of a completed write is released.
     held[1].send(RECEIPT);
     assert_eq!(first[1].command()[0], "ok");
     write(&mut last[0], 5);
-    // It goes by one of the two that are free.
+    // It uses one of the two free connections.
     held.push(at_node);
     let (by, command) = node.any(&mut held);
     assert_eq!(command[4].len(), value.len());
@@ -973,9 +984,9 @@
 }
 
 #[test]
-fn a_wrong_configuration_is_one_plain_line() {
-    for wrong in ["", "{}", "{\"listen\": 5}"] {
-        let mut child = launch(wrong);
+fn an_invalid_configuration_is_reported_in_one_line() {
+    for invalid in ["", "{}", "{\"listen\": 5}"] {
+        let mut child = launch(invalid);
         let mut error = String::new();
         child.stderr.take().expect("stderr").read_to_string(&mut error).expect("text");
         assert_eq!(child.wait().expect("waited").code(), Some(1));
