--- a/crates/proxy/tests/addresses.rs
+++ b/crates/proxy/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Cache nodes with several addresses, each scripted by itself, before the built binary.
+//! Cache nodes with several addresses, each scripted separately, behind the built binary.
 
 use serde_json::{json, Value};
 use std::io::Read;
@@ -11,42 +11,42 @@
 use testkit::process::Folder;
 use testkit::scripted::*;
 
-/// A node's entry with these addresses.
-fn entry(name: &str, dials: &[String]) -> Value {
+/// Returns a list entry for a node with these addresses.
+fn host_with_addresses(name: &str, dials: &[String]) -> Value {
     let mut entry = host(name, nobody(), "up");
     entry["dials"] = json!(dials);
     entry
 }
 
-/// A proxy that knows one node at these addresses.
-fn proxy(dials: &[String], operator: &str, edit: impl FnOnce(&mut Value)) -> Proxy {
+/// Starts a proxy that knows one node at these addresses.
+fn start_proxy(dials: &[String], operator: &str, edit: impl FnOnce(&mut Value)) -> Proxy {
     Proxy::operated(&Server::many(0), operator, |c| {
-        c["known"] = list(41, true, &[entry("s-0", dials)]);
+        c["known"] = list(41, true, &[host_with_addresses("s-0", dials)]);
         edit(c);
     })
 }
 
-const NONE: &str = "version = 1";
+const DEFAULT_OPERATOR: &str = "version = 1";
 
-/// A listener on IPv6, or on IPv4 where this machine has no IPv6.
-fn six() -> (TcpListener, String) {
+/// Listens on IPv6, or on IPv4 where this machine has no IPv6.
+fn listen_ipv6() -> (TcpListener, String) {
     let listener = TcpListener::bind("[::1]:0").or_else(|_| TcpListener::bind("127.0.0.1:0")).expect("bound");
     let address = listener.local_addr().expect("an address").to_string();
     (listener, address)
 }
 
-/// Takes connections and is silent ever after; tells how many it took.
-fn silent(listener: TcpListener, reads: bool) -> Arc<AtomicUsize> {
+/// Accepts connections and never answers on them. Returns a counter of accepted connections.
+fn accept_without_answering(listener: TcpListener, reads: bool) -> Arc<AtomicUsize> {
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
     std::thread::spawn(move || {
         let mut kept = Vec::new();
         for stream in listener.incoming().flatten() {
             counted.fetch_add(1, Ordering::Relaxed);
-            let mut stream2 = stream.try_clone().expect("a clone");
+            let mut reader = stream.try_clone().expect("a clone");
             kept.push(stream);
             if reads {
-                std::thread::spawn(move || while stream2.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
+                std::thread::spawn(move || while reader.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
             }
         }
     });
@@ -66,16 +66,16 @@
         let all = streams.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                all.lock().expect("whole").push(stream.try_clone().expect("a clone"));
+                all.lock().expect("lock not poisoned").push(stream.try_clone().expect("a clone"));
                 std::thread::spawn(move || answer_all(stream, |_| Some(hit(value))));
             }
         });
         UnixNode { path, streams }
     }
 
-    /// Its process ends, and leaves its path behind.
+    /// Closes all connections as the end of its process would, and leaves the path behind.
     fn end(self) -> PathBuf {
-        for stream in self.streams.lock().expect("whole").iter() {
+        for stream in self.streams.lock().expect("lock not poisoned").iter() {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
         self.path
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn a_first_address_that_refuses_costs_nothing_and_unix_sockets_serve() {
+fn a_refusing_first_address_costs_no_attempt_and_unix_sockets_serve() {
     let folder = Folder::new("unix").expect("a folder");
     let path = folder.0.join("box.sock");
     let node = UnixNode::start(path.clone(), "one");
     let dials = [nobody().to_string(), format!("unix:{}", path.display())];
-    let proxy = proxy(&dials, NONE, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
+    let proxy = start_proxy(&dials, DEFAULT_OPERATOR, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
     let mut client = proxy.client();
     for key in 0..20 {
         client.get(key, "read", 9_000);
@@ -96,7 +96,7 @@
         client.set(key, "once", 9_000, "v");
         assert_eq!(client.command()[0], "one");
     }
-    // The node is started anew behind the same path.
+    // The node restarts behind the same path.
     std::fs::remove_file(node.end()).expect("removed");
     let _node = UnixNode::start(path, "two");
     client.get(1, "read", 9_000);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn paths_that_are_no_sockets_are_passed_over_and_nonsense_is_dropped() {
+fn paths_that_are_not_sockets_are_skipped_and_invalid_addresses_dropped() {
     let folder = Folder::new("unix").expect("a folder");
     let (file, missing) = (folder.0.join("file"), folder.0.join("missing"));
     std::fs::write(&file, "no socket").expect("written");
@@ -117,62 +117,62 @@
         node.addresses[0].to_string(),
         node.addresses[0].to_string(),
     ];
-    let proxy = proxy(&dials, NONE, |_| {});
+    let proxy = start_proxy(&dials, DEFAULT_OPERATOR, |_| {});
     let mut client = proxy.client();
     client.get(1, "read", 9_000);
     let (mut at_node, _) = node.command();
     at_node.send(hit("v"));
     assert_eq!(client.command()[0], "v");
-    // Without any address that can be used it is a node without a connection, and the list holds.
-    let nothing = self::proxy(&["nonsense".into()], NONE, |_| {});
-    let mut client = nothing.client();
+    // A node without any usable address stays in the list but gets no connection.
+    let unreachable_proxy = start_proxy(&["nonsense".into()], DEFAULT_OPERATOR, |_| {});
+    let mut client = unreachable_proxy.client();
     client.get(1, "read", 9_000);
     assert!(client.line().starts_with("-BUSY"));
 }
 
 #[test]
-fn a_silent_address_is_left_by_the_requests_that_follow_and_a_write_is_not_doubled() {
-    let (listener, address) = six();
-    let taken = silent(listener, true);
+fn later_requests_avoid_a_silent_address_and_its_unsafe_write_is_not_repeated() {
+    let (listener, address) = listen_ipv6();
+    let accepted = accept_without_answering(listener, true);
     let node = Server::start();
     let dials = [address, node.addresses[0].to_string()];
-    let proxy = proxy(&dials, NONE, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
+    let proxy = start_proxy(&dials, DEFAULT_OPERATOR, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
     let mut client = proxy.client();
-    // The first request meets it, and may have arrived: it fails in its time, and goes nowhere else.
+    // The first request uses the silent address and may have arrived: it fails at its deadline and is not retried.
     client.set(1, "once", 300, "v");
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(client.line(), "-ERR failed");
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(started.elapsed() < Duration::from_secs(2));
     assert!(node.is_untouched());
-    // From then on the other address has them, while this one waits.
+    // From then on requests use the other address, and the silent one is not tried.
     for key in 0..50 {
         client.set(key, "put", 9_000, "v");
         let mut peers = Vec::new();
         let (i, _) = node.any(&mut peers);
         peers[i].send(RECEIPT);
         assert_eq!(client.command()[0], "ok", "{key}");
-        // The next one connects anew: the node closes, and waits until the proxy knows. A request that crosses the
-        // close would be reset, and refused with its one attempt.
+        // Makes the next request open a connection: the node closes, and waits until the proxy has seen it. A request that
+        // crosses the close would be reset, and rejected with its only attempt.
         peers[i].stream.shutdown(std::net::Shutdown::Write).expect("shut down");
         peers[i].rest();
     }
-    assert_eq!(taken.load(Ordering::Relaxed), 1);
+    assert_eq!(accepted.load(Ordering::Relaxed), 1);
 }
 
 #[test]
-fn a_write_that_may_have_arrived_goes_again_over_the_same_address_or_none_unless_the_operator_allows_it() {
-    for across in [false, true] {
+fn a_write_that_may_have_arrived_is_retried_over_another_address_only_if_the_operator_allows_it() {
+    for other_address_allowed in [false, true] {
         let first = Server::start();
         let second = Server::start();
         let dials = [first.addresses[0].to_string(), second.addresses[0].to_string()];
-        let operator = format!("version = 1\nboxes.repeat_writes_across_addresses = {across}");
-        let proxy = proxy(&dials, &operator, |_| {});
+        let operator = format!("version = 1\nboxes.repeat_writes_across_addresses = {other_address_allowed}");
+        let proxy = start_proxy(&dials, &operator, |_| {});
         let mut client = proxy.client();
         client.set(1, "put", 9_000, "v");
         let (node, command) = first.command();
         node.reset();
-        if across {
-            // The address that broke before it answered is left alone for a while.
+        if other_address_allowed {
+            // The address that reset before it answered is avoided for a while.
             let (mut node, again) = second.command();
             assert_eq!(again[2], command[2]);
             node.send(RECEIPT);
@@ -187,56 +187,56 @@
 }
 
 #[test]
-fn a_write_that_was_not_wholly_written_has_not_arrived_and_moves_on() {
-    // It takes connections and reads nothing: the window fills in the middle of a long value.
-    let (listener, address) = six();
+fn an_incompletely_written_write_counts_as_not_arrived_and_may_use_another_address() {
+    // The listener accepts connections and reads nothing: the window fills in the middle of a long value.
+    let (listener, address) = listen_ipv6();
     socket2::SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("set");
-    let _taken = silent(listener, false);
+    let _accepted = accept_without_answering(listener, false);
     let folder = Folder::new("unix").expect("a folder");
     let path = folder.0.join("box.sock");
     let _node = UnixNode::start(path.clone(), "ok");
     let dials = [address, format!("unix:{}", path.display())];
-    let proxy = proxy(&dials, NONE, |_| {});
-    // Eight such writes at once fill any buffer on the way.
+    let proxy = start_proxy(&dials, DEFAULT_OPERATOR, |_| {});
+    // Eight such writes at once fill every buffer on the path.
     let value = "x".repeat(64 << 10);
     let mut clients: Vec<Peer> = (0..8).map(|_| proxy.client()).collect();
     for (key, client) in clients.iter_mut().enumerate() {
         client.set(key as u64, "put", 400, &value);
     }
-    // Each has one answer, whatever became of it; those that had not arrived may have been served elsewhere.
+    // Each write gets one response with any outcome; those that had not arrived may have been served elsewhere.
     for client in &mut clients {
         client.command();
     }
-    // And the node is back in use over its other address, as soon as the module has it so.
-    let (mut client, begun) = (proxy.client(), Instant::now());
+    // The node is used again over its other address once the balancer readmits it.
+    let (mut client, started) = (proxy.client(), Instant::now());
     loop {
         client.set(100, "put", 9_000, "v");
         if client.command()[0] == "ok" {
             break;
         }
-        assert!(begun.elapsed() < PATIENCE, "it is not used again");
+        assert!(started.elapsed() < PATIENCE, "the node was not used again in time");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn an_address_that_never_comes_up_is_raced_by_the_next() {
+fn an_address_that_does_not_connect_is_raced_by_the_next_one() {
     let (at, _held) = full_backlog();
     let node = Server::start();
     let dials = [at.to_string(), node.addresses[0].to_string()];
-    let proxy = proxy(&dials, NONE, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
+    let proxy = start_proxy(&dials, DEFAULT_OPERATOR, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
     let mut client = proxy.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     client.set(1, "once", 1_000, "v");
     let (mut at_node, _) = node.command();
     at_node.send(RECEIPT);
     assert_eq!(client.command()[0], "ok");
-    assert!(begun.elapsed() < Duration::from_millis(900), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(900), "{:?}", started.elapsed());
 }
 
 #[test]
-fn all_addresses_dead_cost_few_connections_and_the_request_goes_elsewhere() {
-    let (listener, address) = six();
+fn a_node_with_only_dead_addresses_costs_few_connections_and_its_requests_go_elsewhere() {
+    let (listener, address) = listen_ipv6();
     let resets = Arc::new(AtomicUsize::new(0));
     let counted = resets.clone();
     std::thread::spawn(move || {
@@ -245,28 +245,28 @@
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("linger");
         }
     });
-    let well = Server::start();
-    let proxy = Proxy::operated(&Server::many(0), NONE, |c| {
-        let dead = entry("s-1", &[address, nobody().to_string()]);
-        c["known"] = list(41, true, &[dead, host("s-0", well.addresses[0], "up")]);
+    let healthy_node = Server::start();
+    let proxy = Proxy::operated(&Server::many(0), DEFAULT_OPERATOR, |c| {
+        let dead = host_with_addresses("s-1", &[address, nobody().to_string()]);
+        c["known"] = list(41, true, &[dead, host("s-0", healthy_node.addresses[0], "up")]);
     });
     let mut client = proxy.client();
     let mut peers = Vec::new();
     for key in 0..200 {
         client.get(key, "read", 9_000);
-        let (i, _) = well.any(&mut peers);
+        let (i, _) = healthy_node.any(&mut peers);
         peers[i].send(hit("v"));
         assert_eq!(client.command()[0], "v");
     }
     let resets = resets.load(Ordering::Relaxed);
-    assert!(resets < 20, "{resets} connections to a dead node");
+    assert!(resets < 20, "{resets} connections to a dead node, expected fewer than 20");
 }
 
 #[test]
-fn addresses_change_by_a_list_while_attempts_are_out() {
+fn a_list_changes_addresses_while_attempts_are_in_flight() {
     let (old, new, discovery) = (Server::start(), Server::start(), Server::start());
-    let proxy = Proxy::operated(&Server::many(0), NONE, |c| {
-        c["known"] = list(41, true, &[entry("s-0", &[old.addresses[0].to_string()])]);
+    let proxy = Proxy::operated(&Server::many(0), DEFAULT_OPERATOR, |c| {
+        c["known"] = list(41, true, &[host_with_addresses("s-0", &[old.addresses[0].to_string()])]);
         subscribed(c, &discovery);
     });
     let mut watch = discovery.accept();
@@ -274,11 +274,11 @@
     let mut client = proxy.client();
     client.get(1, "read", 9_000);
     let (mut at_old, _) = old.command();
-    let next = entry("s-0", &[new.addresses[0].to_string(), nobody().to_string()]);
+    let next = host_with_addresses("s-0", &[new.addresses[0].to_string(), nobody().to_string()]);
     watch.list(&list(42, false, std::slice::from_ref(&next)));
     let mut watch = discovery.accept();
     watch.request();
-    // What is out ends as it would; what comes goes to the new place.
+    // The attempt in flight completes at the old address; new requests use the new one.
     let mut other = proxy.client();
     other.get(2, "read", 9_000);
     let (mut at_new, _) = new.command();
@@ -286,10 +286,10 @@
     assert_eq!(other.command()[0], "new");
     at_old.send(hit("old"));
     assert_eq!(client.command()[0], "old");
-    // The same list in another order moves nothing.
-    let mut turned = next;
-    turned["dials"].as_array_mut().expect("a list").reverse();
-    watch.list(&list(43, false, &[turned]));
+    // Reordered addresses move no connection.
+    let mut reordered = next;
+    reordered["dials"].as_array_mut().expect("a list").reverse();
+    watch.list(&list(43, false, &[reordered]));
     discovery.accept().request();
     client.get(3, "read", 9_000);
     at_new.command();
@@ -298,28 +298,28 @@
     assert!(old.is_untouched() && new.is_untouched());
 }
 
-/// A place of nodes that holds its answers until it is let go, and says how many commands it was given.
+/// A gate shared by nodes: holds their responses until it is opened, and counts the commands they received.
 #[derive(Clone, Default)]
 struct Gate(Arc<(Mutex<(usize, bool)>, std::sync::Condvar)>);
 
 impl Gate {
     fn commands(&self) -> usize {
-        self.0 .0.lock().expect("whole").0
+        self.0 .0.lock().expect("lock not poisoned").0
     }
 
-    /// Waits until it was given so many.
-    fn fills(&self, count: usize) -> bool {
-        let state = self.0 .0.lock().expect("whole");
-        let full = self.0 .1.wait_timeout_while(state, PATIENCE, |s| s.0 < count).expect("whole");
+    /// Waits until `count` commands have been received. Returns whether that happened in time.
+    fn receives(&self, count: usize) -> bool {
+        let state = self.0 .0.lock().expect("lock not poisoned");
+        let full = self.0 .1.wait_timeout_while(state, PATIENCE, |s| s.0 < count).expect("lock not poisoned");
         !full.1.timed_out()
     }
 
     fn open(&self) {
-        self.0 .0.lock().expect("whole").1 = true;
+        self.0 .0.lock().expect("lock not poisoned").1 = true;
         self.0 .1.notify_all();
     }
 
-    /// A node that answers with this value, once the gate is open.
+    /// Starts a node that answers with this value once the gate is open, and returns its address.
     fn node(&self, value: &'static str) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("an address").to_string();
@@ -339,73 +339,77 @@
     }
 
     fn pass(&self) {
-        let mut state = self.0 .0.lock().expect("whole");
+        let mut state = self.0 .0.lock().expect("lock not poisoned");
         state.0 += 1;
         self.0 .1.notify_all();
-        drop(self.0 .1.wait_while(state, |s| !s.1).expect("whole"));
+        drop(self.0 .1.wait_while(state, |s| !s.1).expect("lock not poisoned"));
     }
 }
 
 #[test]
-fn boxes_that_move_while_a_hundred_attempts_are_out_end_them_there_and_take_what_follows_here() {
+fn nodes_that_move_finish_100_open_attempts_at_the_old_address_and_get_new_ones_at_the_new() {
     const NODES: usize = 50;
     const ATTEMPTS: usize = 100;
     let (old, new, discovery) = (Gate::default(), Gate::default(), Server::start());
     new.open();
     let name = |i: usize| format!("s-{i}");
-    let before: Vec<Value> = (0..NODES).map(|i| entry(&name(i), &[old.node("old")])).collect();
-    let after: Vec<Value> =
-        (0..NODES).map(|i| entry(&name(i), &[nobody().to_string(), new.node("new")])).collect();
-    let proxy = Proxy::operated(&Server::many(0), NONE, |c| {
-        c["known"] = list(41, true, &before);
+    let old_hosts: Vec<Value> =
+        (0..NODES).map(|i| host_with_addresses(&name(i), &[old.node("old")])).collect();
+    let new_hosts: Vec<Value> =
+        (0..NODES).map(|i| host_with_addresses(&name(i), &[nobody().to_string(), new.node("new")])).collect();
+    let proxy = Proxy::operated(&Server::many(0), DEFAULT_OPERATOR, |c| {
+        c["known"] = list(41, true, &old_hosts);
         subscribed(c, &discovery);
-        // One attempt a request: what is out stays out.
+        // One attempt per request, so that attempts in flight stay where they are.
         c["settings"]["caps"]["attempts_cap"] = json!(1);
         c["settings"]["caps"]["second_copies"] = json!(false);
     });
     let mut watch = discovery.accept();
     watch.request();
-    let mut asking: Vec<Peer> = (0..ATTEMPTS).map(|_| proxy.client()).collect();
-    for (key, client) in asking.iter_mut().enumerate() {
+    let mut waiting_clients: Vec<Peer> = (0..ATTEMPTS).map(|_| proxy.client()).collect();
+    for (key, client) in waiting_clients.iter_mut().enumerate() {
         client.get(key as u64 * 7919, if key % 2 == 0 { "read" } else { "once" }, 20_000);
     }
-    assert!(old.fills(ATTEMPTS), "{} attempts are out", old.commands());
-    watch.list(&list(42, false, &after));
-    // The next call says that this list was taken.
+    assert!(old.receives(ATTEMPTS), "{} attempts in flight, expected {ATTEMPTS}", old.commands());
+    watch.list(&list(42, false, &new_hosts));
+    // The next call shows that this list has been applied.
     discovery.accept().request();
     for key in 0..2 * ATTEMPTS as u64 {
         let mut client = proxy.client();
         client.get(key, "read", 9_000);
-        assert_eq!(client.command()[0], "new", "request {key} after the move");
+        assert_eq!(client.command()[0], "new", "request {key} after the move was served by the old address");
     }
     assert_eq!((old.commands(), new.commands()), (ATTEMPTS, 2 * ATTEMPTS));
     old.open();
-    for client in &mut asking {
+    for client in &mut waiting_clients {
         assert_eq!(client.command()[0], "old");
     }
     assert_eq!(old.commands(), ATTEMPTS);
 }
 
 #[test]
-fn a_socket_that_this_user_may_not_use_is_passed_over() {
+fn a_socket_without_permission_for_this_user_is_skipped() {
     use std::os::unix::fs::{MetadataExt, PermissionsExt};
     use std::os::unix::process::CommandExt;
-    let rights = |path: &std::path::Path, mode| {
+    let set_mode = |path: &std::path::Path, mode| {
         std::fs::set_permissions(path, std::fs::Permissions::from_mode(mode)).expect("set");
     };
     let folder = Folder::new("rights").expect("a folder");
-    rights(&folder.0, 0o755);
+    set_mode(&folder.0, 0o755);
     let (program, path) = (folder.0.join("trestlesill"), folder.0.join("box.sock"));
     std::fs::copy(testkit::program("trestlesill"), &program).expect("copied");
-    rights(&program, 0o755);
+    set_mode(&program, 0o755);
     let _closed = UnixNode::start(path.clone(), "closed");
-    rights(&path, 0);
+    set_mode(&path, 0);
     let node = Server::start();
     let mut config = config(&[]);
-    config["known"] =
-        list(41, true, &[entry("s-0", &[format!("unix:{}", path.display()), node.addresses[0].to_string()])]);
+    config["known"] = list(
+        41,
+        true,
+        &[host_with_addresses("s-0", &[format!("unix:{}", path.display()), node.addresses[0].to_string()])],
+    );
     let mut command = std::process::Command::new(&program);
-    // Rights mean nothing to root: the proxy runs as nobody then.
+    // Permissions do not apply to root, so the proxy then runs as user nobody.
     if std::fs::metadata("/proc/self").expect("a process").uid() == 0 {
         command.uid(65_534).gid(65_534);
     }
--- a/crates/proxy/tests/long.rs
+++ b/crates/proxy/tests/long.rs
@@ -1,36 +1,36 @@
-//! Long values: passed on while they come, with less memory than they have bytes; and what goes wrong midway.
+//! Long values: streamed while they arrive, in less memory than their size, and failures in the middle of one.
 
 use serde_json::json;
 use std::io::Read;
 use std::time::{Duration, Instant};
 use testkit::scripted::*;
 
-const LONG: usize = 4 << 20;
-const TAIL: &str = "\r\n$3\r\nhit\r\n$-1\r\n";
+const VALUE_BYTES: usize = 4 << 20;
+const RESPONSE_TAIL: &str = "\r\n$3\r\nhit\r\n$-1\r\n";
 
-fn head(length: usize) -> String {
+fn response_head(length: usize) -> String {
     format!("*3\r\n${length}\r\n")
 }
 
-fn text(length: usize, from: u8) -> String {
+fn value_text(length: usize, from: u8) -> String {
     (0..length).map(|i| char::from(b'a' + ((i + i / 7 + usize::from(from)) % 26) as u8)).collect()
 }
 
-/// Waits until something is so.
-fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !is() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+/// Waits until the condition holds, and fails with the message after `PATIENCE`.
+fn wait_until(message: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < PATIENCE, "{message}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 #[test]
-fn a_long_value_reaches_its_client_before_it_is_whole_and_past_the_deadline() {
+fn a_long_value_is_streamed_before_it_is_complete_and_past_the_deadline() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
-    let (mut client, value) = (proxy.client(), text(LONG, 0));
-    // A short answer, the long one and another short one, in one go.
+    let (mut client, value) = (proxy.client(), value_text(VALUE_BYTES, 0));
+    // Three pipelined reads: a short response, a long one and another short one.
     client.get(1, "read", 15_000);
     let (mut first, _) = node.command();
     client.get(2, "read", 300);
@@ -38,19 +38,19 @@
     client.get(3, "read", 15_000);
     let (mut third, _) = node.command();
     third.send(hit("third"));
-    at_node.send(head(LONG) + &value[..LONG / 2]);
+    at_node.send(response_head(VALUE_BYTES) + &value[..VALUE_BYTES / 2]);
     first.send(hit("first"));
     assert_eq!(client.command()[0], "first");
-    assert_eq!(client.take(head(LONG).len()), head(LONG).as_bytes());
-    assert!(client.take(LONG / 2) == value.as_bytes()[..LONG / 2]);
-    // Its time is long up; what the node still gives is not cut off.
+    assert_eq!(client.take(response_head(VALUE_BYTES).len()), response_head(VALUE_BYTES).as_bytes());
+    assert!(client.take(VALUE_BYTES / 2) == value.as_bytes()[..VALUE_BYTES / 2]);
+    // The deadline is long past; a value in progress is still not cut off.
     std::thread::sleep(Duration::from_millis(400));
-    at_node.send(&value[LONG / 2..]);
-    at_node.send(TAIL);
-    assert!(client.take(LONG / 2) == value.as_bytes()[LONG / 2..]);
-    assert_eq!(client.take(TAIL.len()), TAIL.as_bytes());
+    at_node.send(&value[VALUE_BYTES / 2..]);
+    at_node.send(RESPONSE_TAIL);
+    assert!(client.take(VALUE_BYTES / 2) == value.as_bytes()[VALUE_BYTES / 2..]);
+    assert_eq!(client.take(RESPONSE_TAIL.len()), RESPONSE_TAIL.as_bytes());
     assert_eq!(client.command()[0], "third");
-    // The connection to the node serves again.
+    // The connection to the node is reused.
     client.get(4, "read", 15_000);
     let mut peers = vec![first, at_node, third];
     let (i, _) = node.any(&mut peers);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn many_long_values_pass_through_less_memory_than_they_take() {
+fn many_long_values_are_streamed_through_less_memory_than_their_size() {
     const CLIENTS: usize = 12;
     let nodes = Server::many(3);
     let proxy = Proxy::with(&nodes, |c| {
@@ -73,48 +73,58 @@
             client.get(i as u64, "read", 15_000);
             let (mut at_node, command) = nodes.command();
             let key = u64::from_str_radix(&command[1], 16).expect("a key");
-            // Nodes write as fast as they are read.
+            // Nodes write as fast as the proxy reads.
             writers.push(std::thread::spawn(move || {
-                at_node.send(head(LONG) + &text(LONG, key as u8) + TAIL);
+                at_node
+                    .send(response_head(VALUE_BYTES) + &value_text(VALUE_BYTES, key as u8) + RESPONSE_TAIL);
                 at_node
             }));
             client
         })
         .collect();
-    // Nobody reads beyond the first bytes, and all have these.
+    // No client reads beyond the first bytes, and every client receives these.
     for client in &mut clients {
         assert_eq!(client.take(4), b"*3\r\n");
     }
     let peak = || proxy.status("VmHWM") / 1024;
-    assert!(peak() < 16, "{} MB at its peak", peak());
+    assert!(peak() < 16, "peak of {} MB, expected less than 16 MB", peak());
     let readers: Vec<_> = (0..)
         .zip(clients)
         .map(|(i, mut client)| {
             std::thread::spawn(move || {
-                assert_eq!(client.take(head(LONG).len() - 4), &head(LONG).as_bytes()[4..]);
-                assert!(client.take(LONG) == text(LONG, i).as_bytes(), "another value");
-                assert_eq!(client.take(TAIL.len()), TAIL.as_bytes());
+                assert_eq!(
+                    client.take(response_head(VALUE_BYTES).len() - 4),
+                    &response_head(VALUE_BYTES).as_bytes()[4..]
+                );
+                assert!(
+                    client.take(VALUE_BYTES) == value_text(VALUE_BYTES, i).as_bytes(),
+                    "the value differs from the one sent"
+                );
+                assert_eq!(client.take(RESPONSE_TAIL.len()), RESPONSE_TAIL.as_bytes());
             })
         })
         .collect();
-    readers.into_iter().for_each(|r| r.join().expect("read whole"));
-    writers.into_iter().for_each(|w| drop(w.join().expect("written whole")));
-    assert!(peak() < 16, "{} MB at its peak", peak());
+    readers.into_iter().for_each(|r| r.join().expect("the reader received the whole value"));
+    writers.into_iter().for_each(|w| drop(w.join().expect("the node wrote the whole value")));
+    assert!(peak() < 16, "peak of {} MB, expected less than 16 MB", peak());
 }
 
 #[test]
-fn a_value_that_breaks_off_ends_its_client_and_is_asked_for_no_more() {
+fn a_truncated_value_closes_its_client_and_is_not_retried() {
     let nodes = Server::many(2);
     let admin = nobody();
     let proxy = Proxy::with(&nodes, |c| c["admin_addr"] = json!(admin.to_string()));
     let (mut client, mut other) = (proxy.client(), proxy.client());
     client.get(1, "read", 15_000);
     let (mut at_node, _) = nodes.command();
-    at_node.send(head(LONG) + "some of it");
-    assert_eq!(client.take(head(LONG).len() + 10), (head(LONG) + "some of it").as_bytes());
+    at_node.send(response_head(VALUE_BYTES) + "some of it");
+    assert_eq!(
+        client.take(response_head(VALUE_BYTES).len() + 10),
+        (response_head(VALUE_BYTES) + "some of it").as_bytes()
+    );
     at_node.reset();
     assert!(client.rest().is_empty());
-    // Nothing else was sent for it, and it has failed.
+    // No other attempt was made for the read, and it counts as failed.
     other.get(1, "read", 15_000);
     let (mut at_node, command) = nodes.command();
     at_node.send(hit("v"));
@@ -122,40 +132,40 @@
     assert!(nodes.is_untouched());
     let mut caller = Peer::connect(admin);
     caller.send("show-stat\n");
-    let figures = String::from_utf8(caller.rest()).expect("text");
+    let metrics = String::from_utf8(caller.rest()).expect("text");
     assert!(
-        figures.contains("svc.failure.read:1|c") && figures.contains("svc.success.read:1|c"),
-        "{figures}"
+        metrics.contains("svc.failure.read:1|c") && metrics.contains("svc.success.read:1|c"),
+        "{metrics}"
     );
-    assert!(figures.contains("svc.inflight:0|g"), "{figures}");
+    assert!(metrics.contains("svc.inflight:0|g"), "{metrics}");
 }
 
 #[test]
-fn a_client_that_leaves_midway_frees_its_node() {
+fn a_client_that_leaves_during_a_value_closes_the_node_connection() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
     client.get(1, "read", 15_000);
     let (mut at_node, _) = node.command();
-    at_node.send(head(LONG) + "some of it");
+    at_node.send(response_head(VALUE_BYTES) + "some of it");
     client.take(4);
     client.reset();
-    // The rest can't be told, and the node hears that nobody wants it.
-    let mut gone = false;
-    until("the node's connection stays", || {
+    // The rest of the value has no reader, so the proxy closes the node's connection.
+    let mut closed = false;
+    wait_until("the node's connection stays open", || {
         at_node.stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a time-out");
-        gone |= matches!(at_node.stream.read(&mut [0]), Ok(0));
-        gone
+        closed |= matches!(at_node.stream.read(&mut [0]), Ok(0));
+        closed
     });
     proxy.is_well();
 }
 
 #[test]
-fn long_writes_wait_for_room_and_all_are_written() {
+fn long_writes_wait_for_memory_and_all_are_written() {
     let node = Server::start();
-    // A quarter of 16 MB holds one of them.
+    // A quarter of the 16 MB memory limit holds one value.
     let proxy = Proxy::with(&node, |c| c["limits"]["memory_mb"] = json!(16));
-    let value = text(3 << 20, 0);
+    let value = value_text(3 << 20, 0);
     let mut writers = Vec::new();
     for key in 0..3 {
         let (mut client, value) = (proxy.client(), value.clone());
@@ -167,8 +177,8 @@
     let mut peers = Vec::new();
     for _ in 0..3 {
         let (i, command) = node.any(&mut peers);
-        assert!(command[4] == value, "another value");
-        // The others are not taken before this one is answered.
+        assert!(command[4] == value, "the value differs from the one sent");
+        // The other writes are not forwarded before this one is answered.
         assert!(node.is_untouched());
         peers[i].send("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
     }
@@ -179,18 +189,18 @@
 }
 
 #[test]
-fn a_client_may_take_its_time_over_a_long_value_but_not_stop() {
+fn a_client_may_send_a_long_value_slowly_but_not_stall() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
     let mut client = proxy.client();
-    let value = text(200_000, 0);
+    let value = value_text(200_000, 0);
     let bytes = encode(&["CACHE.SET", "1", "slow", "c=put,d=15000,k=5c0f", &value]);
-    let begun = Instant::now();
+    let started = Instant::now();
     for part in bytes.chunks(bytes.len() / 6 + 1) {
         client.send(part);
         std::thread::sleep(Duration::from_millis(600));
     }
-    assert!(begun.elapsed() > Duration::from_secs(3));
+    assert!(started.elapsed() > Duration::from_secs(3));
     let (mut at_node, command) = node.command();
     assert!(command[4] == value);
     at_node.send("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
