--- a/crates/proxy/benches/addresses.rs
+++ b/crates/proxy/benches/addresses.rs
@@ -1,5 +1,5 @@
-//! Boxes with several addresses, of which the first goes wrong: what becomes of writes and of reads. Takes minutes,
-//! prints figures, and fails where a rule breaks:
+//! Outcome and latency of writes and reads to boxes with several addresses of which the first fails. Takes minutes,
+//! prints measurements, and fails if an invariant is violated:
 //!
 //! ```sh
 //! cargo build --release && cargo bench -p trestlesill --bench addresses [-- writes reads]
@@ -19,11 +19,11 @@
     _folder: Folder,
 }
 
-fn start(seed: u64, doors: bool) -> Setting {
+fn start(seed: u64, several_addresses: bool) -> Setting {
     let mut config = WorldConfig::new(seed, BOXES, PROXIES);
     for one in &mut config.boxes {
         one.cores = 4;
-        if doors {
+        if several_addresses {
             one.doors = vec![Entrance::Six, Entrance::Unix];
         }
     }
@@ -41,47 +41,51 @@
 }
 
 impl Setting {
-    /// Plays a load, and holds the rules against it.
+    /// Runs a load and asserts the invariants on its record.
     fn play(&self, rate: f64, writes: f64, span: Duration) -> Vec<Asked> {
-        let front = self.proxies.iter().enumerate();
-        let front = front.map(|(proxy, p)| Target { proxy, address: p.address }).collect();
-        let mut load = Load::new(rate, front);
+        let targets = self.proxies.iter().enumerate();
+        let targets = targets.map(|(proxy, p)| Target { proxy, address: p.address }).collect();
+        let mut load = Load::new(rate, targets);
         load.writes = writes;
         let load = self.world.load(load);
         std::thread::sleep(span);
         let record = load.finish();
         let effects = self.world.origin.effects();
-        let unserved = |k: &&String| !effects.contains_key(*k);
+        let took_no_effect = |k: &&String| !effects.contains_key(*k);
         let served = record.iter().filter(|a| a.end == End::Served);
-        let missing = served.filter_map(|a| a.write.as_ref()).filter(unserved).count();
-        // A refusal promises that nothing was done: a write of which all tries were refused took no effect.
+        let missing_effects = served.filter_map(|a| a.write.as_ref()).filter(took_no_effect).count();
+        // A rejection promises that nothing was done: a write with only rejected attempts must have no effect.
         let mut refused: std::collections::HashMap<&String, bool> = Default::default();
         for a in &record {
             let Some(k) = &a.write else { continue };
             *refused.entry(k).or_insert(true) &= a.end == End::Refused;
         }
-        let broken = refused.iter().filter(|(k, all)| **all && effects.contains_key(**k)).count();
-        assert_eq!((missing, broken), (0, 0));
+        let rejected_with_effect =
+            refused.iter().filter(|(k, all)| **all && effects.contains_key(**k)).count();
+        assert_eq!((missing_effects, rejected_with_effect), (0, 0));
         assert_eq!(self.world.broken(&load, self.proxies.len(), &[]), []);
-        let mut moved = 0;
+        let mut moved_writes = 0;
         for one in &self.world.boxes {
             let mut by = std::collections::HashMap::new();
             let writes = one.record().into_iter().filter(|s| s.write.is_some());
-            moved += writes.filter(|s| *by.entry(s.id.clone()).or_insert(s.door) != s.door).count();
+            moved_writes += writes.filter(|s| *by.entry(s.id.clone()).or_insert(s.door) != s.door).count();
         }
-        assert_eq!(moved, 0, "writes that may have arrived went over another address of their box");
+        assert_eq!(
+            moved_writes, 0,
+            "writes that may have arrived were retried over another address of their box"
+        );
         record
     }
 
-    /// Connections open to all boxes, and how many there ever were.
+    /// Returns the open connections to all boxes, and how many were ever opened.
     fn connections(&self) -> (usize, usize) {
         let boxes = || self.world.boxes.iter();
         (boxes().map(|b| b.connections()).sum(), boxes().map(|b| b.opened()).sum())
     }
 }
 
-/// The share in time, the median, and where the slowest 1% and 0.1% begin, in milliseconds.
-fn figures(record: &[Asked]) -> (f64, [f64; 3]) {
+/// Returns the served fraction and the 50th, 99th and 99.9th percentile of the latency in milliseconds.
+fn latency_summary(record: &[Asked]) -> (f64, [f64; 3]) {
     let served = record.iter().filter(|a| a.end == End::Served);
     let mut times: Vec<f64> = served.map(|a| (a.ended - a.sent).as_secs_f64() * 1e3).collect();
     times.sort_by(f64::total_cmp);
@@ -89,7 +93,7 @@
     (times.len() as f64 / record.len() as f64, [at(0.5), at(0.99), at(0.999)])
 }
 
-/// Writes while the first addresses of all boxes go wrong by turns, drawn from the seed.
+/// Measures writes while the first addresses of all boxes fail at random times drawn from the seed.
 fn writes() {
     println!("writes: {BOXES} boxes with three addresses, {PROXIES} proxies, 800 writes a second for 26 s");
     for (seed, manner) in [(1, Manner::Deaf), (2, Manner::Mute), (3, Manner::Stuck), (4, Manner::Resets)] {
@@ -103,12 +107,12 @@
                 script = script.then(at, lasts, Fault::Door(i, rng.usize(..2), manner));
             }
         }
-        // And one for good.
+        // One address fails permanently.
         script = script.for_good(Duration::from_millis(500), Fault::Door(0, 0, manner));
         setting.world.play(script);
         let record = setting.play(800.0, 1.0, Duration::from_secs(26));
         let asked: std::collections::HashSet<_> = record.iter().filter_map(|a| a.write.as_ref()).collect();
-        let (share, [median, slow, slowest]) = figures(&record);
+        let (share, [median, slow, slowest]) = latency_summary(&record);
         println!(
             "  {manner:?}, seed {seed}: {} writes, {} tries; served {share:.4} of the tries; {median:.0} ms, 1% \
              {slow:.0} ms, 0.1% {slowest:.0} ms; none lost, doubled, or moved",
@@ -118,23 +122,23 @@
     }
 }
 
-/// Reads with the first addresses dead from the start, against all well and against one address a box.
+/// Measures reads with the first addresses dead from the start, with all healthy, and with one address per box.
 fn reads() {
     println!("reads: {BOXES} boxes, {PROXIES} proxies, 400 reads a second for 10 s; first addresses of half of them");
     for run in 0..3 {
-        for (name, doors, manner) in [
+        for (name, several_addresses, manner) in [
             ("one address", false, None),
             ("three, all well", true, None),
             ("three, deaf", true, Some(Manner::Deaf)),
             ("three, resetting", true, Some(Manner::Resets)),
         ] {
-            let setting = start(100 + run, doors);
+            let setting = start(100 + run, several_addresses);
             if let Some(manner) = manner {
                 (0..BOXES).step_by(2).for_each(|i| setting.world.boxes[i].doors[0].behaves(manner));
             }
             let mut record = setting.play(400.0, 0.0, Duration::from_secs(10));
             record.sort_by_key(|a| a.sent);
-            let (share, [median, slow, slowest]) = figures(&record);
+            let (share, [median, slow, slowest]) = latency_summary(&record);
             let (open, opened) = setting.connections();
             let ms = |i: usize| (record[i].ended - record[i].sent).as_secs_f64() * 1e3;
             println!(
--- a/crates/proxy/benches/resp3.rs
+++ b/crates/proxy/benches/resp3.rs
@@ -1,5 +1,5 @@
-//! What RESP3 costs a proxy, and what mixed boxes and clients get. Takes minutes, prints figures, and fails where
-//! a rule breaks:
+//! CPU cost of RESP3 in a proxy, and service of boxes and clients with mixed protocols. Takes minutes, prints
+//! measurements, and fails if an invariant is violated:
 //!
 //! ```sh
 //! cargo build --release && cargo bench -p trestlesill --bench resp3 [-- cost world]
@@ -19,17 +19,17 @@
 use testkit::world::{End, Load, Script, Speech, Target, World, WorldConfig};
 
 const RUNS: usize = 3;
-/// How long a case of `cost` has its turn, and how often.
+/// Length of a measured slice of a case of `cost`, and the number of slices.
 const SLICE: Duration = Duration::from_millis(150);
 const SLICES: usize = 25;
-/// Clients of `cost`: few, so that they leave the proxy its core.
+/// Clients of `cost`: few, so that they do not compete with the proxy for its core.
 const CLIENTS: usize = 3;
-const GREETED: &str = "version = 1\nboxes.resp3 = true";
+const RESP3_ENABLED: &str = "version = 1\nboxes.resp3 = true";
 
-// ---- what a request costs ----
+// ---- CPU cost per request ----
 
-/// A box that answers at once; it speaks RESP3 if it is greeted so.
-fn quick_box() -> SocketAddr {
+/// Starts a box that answers at once, in RESP3 after a HELLO.
+fn start_box() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a listener");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -64,8 +64,14 @@
     }
 }
 
-/// Asks one request after the other while it is its turn, until the process ends.
-fn ask_all(address: SocketAddr, number: usize, protocol: Protocol, turn: &AtomicBool, count: &AtomicU64) {
+/// Sends one request after the other while `turn` is set, until the process exits.
+fn send_requests(
+    address: SocketAddr,
+    number: usize,
+    protocol: Protocol,
+    turn: &AtomicBool,
+    count: &AtomicU64,
+) {
     let mut stream = TcpStream::connect(address).expect("connected");
     let _ = stream.set_nodelay(true);
     let mut buffer = [0; 4096];
@@ -81,7 +87,7 @@
     let mut asked = 0u64;
     loop {
         if !turn.load(Ordering::Relaxed) {
-            // A message that its turn has come would cost the proxies no less.
+            // Polling costs the proxies no more than a notification would.
             std::thread::sleep(Duration::from_millis(2));
             continue;
         }
@@ -99,13 +105,13 @@
     }
 }
 
-/// Time on a core, in nanoseconds.
-fn cpu(pid: u32) -> u64 {
+/// Returns the CPU time of a process in nanoseconds.
+fn cpu_time_ns(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).expect("it runs");
     text.split(' ').next().and_then(|n| n.parse().ok()).expect("a number")
 }
 
-/// A proxy with its boxes and clients, which ask while it is its turn.
+/// A proxy with its boxes, and clients that send requests while `turn` is set.
 struct Case {
     proxy: Instance,
     turn: Arc<AtomicBool>,
@@ -118,42 +124,44 @@
         Case::with(program, client, operator, 1)
     }
 
-    /// The same with so many addresses a box, all of them well.
+    /// Like `new`, with `dials` healthy addresses per box.
     fn with(program: &std::path::Path, client: Protocol, operator: Option<&str>, dials: usize) -> Case {
-        let boxes: Vec<SocketAddr> = (0..4).map(|_| quick_box()).collect();
-        let mut told = config(&boxes);
+        let boxes: Vec<SocketAddr> = (0..4).map(|_| start_box()).collect();
+        let mut proxy_config = config(&boxes);
         if dials > 1 {
-            for (host, first) in told["known"]["hosts"].as_array_mut().into_iter().flatten().zip(&boxes) {
-                let all = std::iter::once(*first).chain((1..dials).map(|_| quick_box()));
+            for (host, first) in
+                proxy_config["known"]["hosts"].as_array_mut().into_iter().flatten().zip(&boxes)
+            {
+                let all = std::iter::once(*first).chain((1..dials).map(|_| start_box()));
                 host["dials"] = all.map(|a| a.to_string()).collect();
             }
         }
         let folder = Folder::new("cost").expect("a folder");
-        let mut proxy = Instance::start(program, &folder.0, &told, operator).expect("started");
+        let mut proxy = Instance::start(program, &folder.0, &proxy_config, operator).expect("started");
         proxy.ready(PATIENCE).expect("ready");
         let (turn, count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
         for number in 0..CLIENTS {
             let (turn, count, address) = (turn.clone(), count.clone(), proxy.address);
-            std::thread::spawn(move || ask_all(address, number, client, &turn, &count));
+            std::thread::spawn(move || send_requests(address, number, client, &turn, &count));
         }
         Case { proxy, turn, count, _folder: folder }
     }
 
-    /// Microseconds of the proxy's core a request, in one slice.
+    /// Measures one slice and returns the CPU time of the proxy per request in microseconds.
     fn slice(&self) -> f64 {
         self.turn.store(true, Ordering::Relaxed);
         std::thread::sleep(SLICE / 10);
-        let before = (cpu(self.proxy.child.id()), self.count.load(Ordering::Relaxed));
+        let before = (cpu_time_ns(self.proxy.child.id()), self.count.load(Ordering::Relaxed));
         std::thread::sleep(SLICE);
-        let after = (cpu(self.proxy.child.id()), self.count.load(Ordering::Relaxed));
+        let after = (cpu_time_ns(self.proxy.child.id()), self.count.load(Ordering::Relaxed));
         self.turn.store(false, Ordering::Relaxed);
         std::thread::sleep(SLICE / 10);
         (after.0 - before.0) as f64 / (after.1 - before.1) as f64 / 1e3
     }
 }
 
-/// Each run plays all cases by turns, slice by slice, and compares their medians: what the machine does beside it
-/// then strikes all alike.
+/// Each run alternates between the cases, slice by slice, and compares their medians, so that other load on the machine
+/// affects all cases alike.
 fn cost() {
     println!(
         "cost: {CLIENTS} clients, 4 boxes, values of 100 bytes; microseconds of the proxy's core a request"
@@ -164,8 +172,8 @@
         let mut cases = vec![
             ("RESP2", Case::new(&new, Protocol::Two, None)),
             ("RESP3 client", Case::new(&new, Protocol::Three, None)),
-            ("RESP3 box", Case::new(&new, Protocol::Two, Some(GREETED))),
-            ("RESP3 both", Case::new(&new, Protocol::Three, Some(GREETED))),
+            ("RESP3 box", Case::new(&new, Protocol::Two, Some(RESP3_ENABLED))),
+            ("RESP3 both", Case::new(&new, Protocol::Three, Some(RESP3_ENABLED))),
             ("three addresses", Case::with(&new, Protocol::Two, None, 3)),
             ("RESP2 again", Case::new(&new, Protocol::Two, None)),
         ];
@@ -181,17 +189,17 @@
             all[all.len() / 2]
         };
         let medians: Vec<f64> = slices.iter_mut().map(median).collect();
-        let told =
+        let medians_text =
             cases.iter().zip(&medians).map(|((name, _), m)| format!("{name} {m:.2} ({:.2})", m / medians[0]));
-        println!("  run {run}: {}", told.collect::<Vec<_>>().join(", "));
-        // Its clients end with it: they may not ask a proxy that is gone.
+        println!("  run {run}: {}", medians_text.collect::<Vec<_>>().join(", "));
+        // Clients must stop before their proxy does.
         cases.iter().for_each(|(_, c)| c.turn.store(false, Ordering::Relaxed));
     }
 }
 
-// ---- what mixed worlds get ----
+// ---- service with mixed protocols ----
 
-/// The share that was served, and where the slowest one percent of the answers begins, in milliseconds.
+/// Returns the served fraction and the 99th percentile of the latency in milliseconds.
 fn world_of(seed: u64, mixed: bool) -> (f64, f64) {
     let mut config = WorldConfig::new(seed, 12, 3);
     if mixed {
@@ -205,7 +213,7 @@
     let folder = Folder::new("world").expect("a folder");
     let start = |i| {
         let config = world.proxy_config(i, nobody());
-        let operator = mixed.then_some(GREETED);
+        let operator = mixed.then_some(RESP3_ENABLED);
         let program = testkit::program("trestlesill");
         let mut proxy = Instance::start(&program, &folder.0, &config, operator).expect("started");
         proxy.ready(PATIENCE).expect("ready");
--- a/crates/proxy/tests/resp3.rs
+++ b/crates/proxy/tests/resp3.rs
@@ -1,31 +1,31 @@
-//! RESP3 on either side of the built binary, between scripted clients and cache nodes.
+//! RESP3 between the built binary and scripted clients, and between it and scripted cache nodes.
 
 use serde_json::json;
 use std::io::Write;
 use std::time::{Duration, Instant};
 use testkit::scripted::*;
 
-/// The operator's file that allows RESP3 to boxes.
-const GREETED: &str = "version = 1\nboxes.resp3 = true";
-/// How a node answers that speaks RESP3.
+/// An operator's file that allows RESP3 to nodes.
+const RESP3_ENABLED: &str = "version = 1\nboxes.resp3 = true";
+/// The reply to HELLO of a node that speaks RESP3.
 const HELLO: &str = "%3\r\n+server\r\n+box\r\n+proto\r\n:3\r\n+modules\r\n*0\r\n";
 const PUSH: &str = ">2\r\n+invalidate\r\n*1\r\n$1\r\nk\r\n";
 
-/// A proxy that greets its boxes.
-fn greeting(nodes: &Server) -> Proxy {
-    Proxy::operated(nodes, GREETED, |_| {})
+/// Starts a proxy that sends HELLO to its nodes.
+fn start_with_resp3_nodes(nodes: &Server) -> Proxy {
+    Proxy::operated(nodes, RESP3_ENABLED, |_| {})
 }
 
-/// A client that has asked for RESP3.
-fn three(proxy: &Proxy) -> Peer {
+/// Connects a client that has switched to RESP3.
+fn resp3_client(proxy: &Proxy) -> Peer {
     let mut client = proxy.client();
     client.send(encode(&["HELLO", "3"]));
-    hello(&mut client, 3);
+    expect_hello_reply(&mut client, 3);
     client
 }
 
-/// Takes the answer to a HELLO.
-fn hello(client: &mut Peer, version: u8) {
+/// Reads and checks the reply to a HELLO.
+fn expect_hello_reply(client: &mut Peer, version: u8) {
     let head = client.line();
     let (sign, parts) = if version == 3 { ("%7", 14) } else { ("*14", 14) };
     assert_eq!(head, sign);
@@ -34,18 +34,18 @@
     assert!(lines.contains(&format!(":{version}")) && lines.last().is_some_and(|l| l == "*0"), "{lines:?}");
 }
 
-/// The next connection's greeting, answered, and the command behind it.
-fn greeted(nodes: &Server) -> (Peer, Vec<String>) {
+/// Accepts the next connection, answers its HELLO, and returns it with the command behind the HELLO.
+fn accept_and_answer_hello(nodes: &Server) -> (Peer, Vec<String>) {
     let (mut node, greeting) = nodes.command();
     assert_eq!(greeting, ["HELLO", "3"]);
-    // The request has come with it.
+    // The request was pipelined behind it.
     let command = node.command();
     node.send(HELLO);
     (node, command)
 }
 
-/// Lines of an answer that serves, up to its end.
-fn answer(client: &mut Peer) -> Vec<String> {
+/// Reads a successful response and returns its lines.
+fn read_response_lines(client: &mut Peer) -> Vec<String> {
     assert_eq!(client.line(), "*3");
     let mut lines = Vec::new();
     for _ in 0..3 {
@@ -60,46 +60,46 @@
 }
 
 #[test]
-fn a_client_in_resp3_before_nodes_in_resp2() {
+fn a_resp3_client_is_served_by_resp2_nodes() {
     let node = Server::start();
     let proxy = Proxy::start(&node);
-    let mut client = three(&proxy);
+    let mut client = resp3_client(&proxy);
     client.get(1, "read", 9_000);
     let (mut at_node, command) = node.command();
     assert_eq!(command[0], "CACHE.GET");
     at_node.send(hit("value"));
-    assert_eq!(answer(&mut client), ["value", "hit", "_"]);
+    assert_eq!(read_response_lines(&mut client), ["value", "hit", "_"]);
     client.set(1, "put", 9_000, "v");
     at_node.command();
     at_node.send("*3\r\n$2\r\nok\r\n$-1\r\n$8\r\nutil=0.5\r\n");
-    assert_eq!(answer(&mut client), ["ok", "_", "util=0.5"]);
+    assert_eq!(read_response_lines(&mut client), ["ok", "_", "util=0.5"]);
     client.get(1, "once", 9_000);
     at_node.command();
     at_node.send("-ERR failed\r\n");
     assert_eq!(client.line(), "-ERR failed");
     // Back to RESP2 on the same connection.
     client.send(encode(&["HELLO", "2"]));
-    hello(&mut client, 2);
+    expect_hello_reply(&mut client, 2);
     client.get(1, "read", 9_000);
     at_node.command();
     at_node.send(hit("again"));
-    assert_eq!(answer(&mut client), ["again", "hit", "$-1"]);
+    assert_eq!(read_response_lines(&mut client), ["again", "hit", "$-1"]);
 }
 
 #[test]
-fn a_client_in_resp2_before_nodes_in_resp3() {
+fn a_resp2_client_is_served_by_resp3_nodes() {
     let nodes = Server::start();
-    let proxy = greeting(&nodes);
+    let proxy = start_with_resp3_nodes(&nodes);
     let mut client = proxy.client();
     client.get(1, "read", 9_000);
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     node.send("%2\r\n+value\r\n=9\r\ntxt:a\r\nbc\r\n+note\r\n+hit\r\n");
-    let two = b"*3\r\n$5\r\na\r\nbc\r\n$3\r\nhit\r\n$-1\r\n";
-    assert_eq!(client.take(two.len()), two);
+    let resp2_response = b"*3\r\n$5\r\na\r\nbc\r\n$3\r\nhit\r\n$-1\r\n";
+    assert_eq!(client.take(resp2_response.len()), resp2_response);
 }
 
 #[test]
-fn answers_are_in_the_protocol_that_was_in_force_when_their_commands_came() {
+fn responses_use_the_protocol_in_force_when_their_commands_arrived() {
     const OPEN: usize = 40;
     let node = Server::start();
     let proxy = Proxy::operated(&node, "version = 1\npipeline.reads = 32", |_| {});
@@ -114,8 +114,8 @@
     client.send(encode(&["HELLO", "2"]));
     client.get(101, "read", 15_000);
     let mut peers = Vec::new();
-    let begun = Instant::now();
-    // Answered as they come, whatever their order; those that found no room are refused.
+    let started = Instant::now();
+    // Commands are answered as they arrive, in any order; those beyond the limits are rejected.
     let mut out = Vec::new();
     let mut reader = std::thread::spawn({
         let mut stream = client.stream.try_clone().expect("a clone");
@@ -132,8 +132,8 @@
     });
     client.send(encode(&["ECHO", "END"]));
     while !reader.is_finished() {
-        assert!(begun.elapsed() < PATIENCE, "not all was answered");
-        if let Some(i) = nodes_command(&node, &mut peers) {
+        assert!(started.elapsed() < PATIENCE, "not all commands were answered in time");
+        if let Some(i) = poll_command(&node, &mut peers) {
             peers[i].send(hit("v"));
         }
     }
@@ -149,29 +149,29 @@
     assert!(after.ends_with("$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n$3\r\nEND\r\n"), "{after}");
 }
 
-/// The next command within a millisecond or so.
-fn nodes_command(nodes: &Server, peers: &mut Vec<Peer>) -> Option<usize> {
+/// Returns the index of the peer with a command, if one arrives within about a millisecond.
+fn poll_command(nodes: &Server, peers: &mut Vec<Peer>) -> Option<usize> {
     nodes.soon(peers).map(|(i, _)| i)
 }
 
 #[test]
-fn a_hello_half_sent_and_dripping_credentials_are_let_go_in_time() {
-    let proxy = Proxy::operated(&Server::start(), &users(), |_| {});
-    let begun = Instant::now();
+fn a_partial_hello_and_slowly_sent_credentials_time_out() {
+    let proxy = Proxy::operated(&Server::start(), &operator_file_with_users(), |_| {});
+    let started = Instant::now();
     let mut half = proxy.client();
     half.send(b"*2\r\n$5\r\nHELLO\r\n$1\r\n");
-    let mut drip = proxy.client();
-    drip.send(b"*3\r\n$4\r\nAUTH\r\n$5\r\nkiosk\r\n$100\r\n");
-    while begun.elapsed() < Duration::from_millis(4_000) && drip.stream.write_all(b"x").is_ok() {
+    let mut slow_login = proxy.client();
+    slow_login.send(b"*3\r\n$4\r\nAUTH\r\n$5\r\nkiosk\r\n$100\r\n");
+    while started.elapsed() < Duration::from_millis(4_000) && slow_login.stream.write_all(b"x").is_ok() {
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(half.line(), "-ERR Protocol error: the command took too long");
-    assert_eq!(drip.line(), "-ERR Protocol error: the command took too long");
-    assert!(begun.elapsed() < PATIENCE);
+    assert_eq!(slow_login.line(), "-ERR Protocol error: the command took too long");
+    assert!(started.elapsed() < PATIENCE);
 }
 
-/// An operator's file with users.
-fn users() -> String {
+/// Returns an operator's file with two users.
+fn operator_file_with_users() -> String {
     let hashed = |p: &str| session::PasswordHash::new(p.as_bytes(), [7; session::SALT_BYTES]);
     let (kiosk, rider) = (hashed("swap"), hashed("ride"));
     format!(
@@ -181,14 +181,14 @@
 }
 
 #[test]
-fn a_wrong_password_between_two_good_requests_changes_nothing() {
+fn a_wrong_password_between_two_valid_requests_keeps_the_session() {
     let node = Server::start();
-    let proxy = Proxy::operated(&node, &users(), |_| {});
+    let proxy = Proxy::operated(&node, &operator_file_with_users(), |_| {});
     let mut client = proxy.client();
     client.get(1, "read", 9_000);
     assert_eq!(client.line(), "-NOAUTH Authentication required.");
     client.send(encode(&["HELLO", "3", "AUTH", "rider", "ride", "SETNAME", "app"]));
-    hello(&mut client, 3);
+    expect_hello_reply(&mut client, 3);
     client.get(1, "read", 9_000);
     client.send(encode(&["AUTH", "kiosk", "ride"]));
     client.get(2, "read", 9_000);
@@ -198,16 +198,16 @@
         let (i, _) = node.any(&mut peers);
         peers[i].send(hit("v"));
     }
-    assert_eq!(answer(&mut client), ["v", "hit", "_"]);
+    assert_eq!(read_response_lines(&mut client), ["v", "hit", "_"]);
     assert!(client.line().starts_with("-WRONGPASS"));
-    assert_eq!(answer(&mut client), ["v", "hit", "_"]);
+    assert_eq!(read_response_lines(&mut client), ["v", "hit", "_"]);
     assert_eq!(client.line(), "-NOPERM User rider has no permissions to run the 'cache.set' command");
 }
 
 #[test]
-fn a_flood_of_wrong_passwords_is_closed_and_others_are_served() {
+fn repeated_wrong_passwords_close_the_connection_and_others_are_served() {
     let node = Server::start();
-    let proxy = Proxy::operated(&node, &users(), |_| {});
+    let proxy = Proxy::operated(&node, &operator_file_with_users(), |_| {});
     for _ in 0..20 {
         let mut flood = proxy.client();
         let guesses = encode(&["AUTH", "kiosk", "guess"]).repeat(64);
@@ -225,10 +225,10 @@
 }
 
 #[test]
-fn a_node_that_refuses_a_greeting_answers_in_resp2_and_is_not_greeted_again_until_it_starts_anew() {
+fn a_node_that_rejects_hello_is_used_in_resp2_until_it_restarts() {
     let nodes = Server::start();
     let discovery = Server::start();
-    let proxy = Proxy::operated(&nodes, GREETED, |c| {
+    let proxy = Proxy::operated(&nodes, RESP3_ENABLED, |c| {
         subscribed(c, &discovery);
     });
     let mut watch = discovery.accept();
@@ -238,10 +238,10 @@
     let (mut node, greeting) = nodes.command();
     assert_eq!(greeting[0], "HELLO");
     node.command();
-    // Refused and answered in one piece.
+    // The rejected HELLO and the response arrive in one piece.
     node.send([b"-ERR unknown command 'HELLO'\r\n", &hit("two")[..]].concat());
     assert_eq!(client.command()[0], "two");
-    // A connection after it broke is not greeted.
+    // The next connection starts without HELLO.
     drop(node);
     client.get(2, "read", 9_000);
     let (mut node, command) = nodes.command();
@@ -249,17 +249,17 @@
     node.send(hit("v"));
     assert_eq!(client.command()[0], "v");
     drop(node);
-    // It starts anew, with another version: its next connection is.
+    // The node restarts with another version: its next connection starts with HELLO.
     let mut host = host("s-0", nodes.addresses[0], "up");
     host["born_ms"] = json!(1_000);
     watch.list(&list(42, false, &[host]));
     let mut watch = discovery.accept();
     watch.request();
     client.get(4, "read", 9_000);
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     node.send("*3\r\n$5\r\nthree\r\n+hit\r\n_\r\n");
     assert_eq!(client.command(), ["three", "hit", "$-1"]);
-    // And down again, on the same address and without a word: each connection is settled by itself.
+    // A downgrade on the same address that no list reports: each connection negotiates its own protocol.
     drop(node);
     client.get(5, "read", 9_000);
     let (mut node, greeting) = nodes.command();
@@ -269,18 +269,18 @@
 }
 
 #[test]
-fn what_stood_behind_a_greeting_that_a_node_closed_on_may_have_run() {
+fn an_unsafe_write_behind_a_hello_answered_by_a_close_is_not_retried() {
     let nodes = Server::start();
-    let proxy = greeting(&nodes);
+    let proxy = start_with_resp3_nodes(&nodes);
     let mut client = proxy.client();
-    // An unsafe write fails and goes nowhere else.
+    // An unsafe write fails and is not retried.
     client.set(1, "once", 9_000, "v");
     let (mut node, greeting) = nodes.command();
     assert_eq!((&greeting[0][..], &node.command()[0][..]), ("HELLO", "CACHE.SET"));
     drop(node);
     assert_eq!(client.line(), "-ERR failed");
     assert!(nodes.is_untouched());
-    // From then on the node is spoken to in RESP2. A keyed write may go out again, under its key.
+    // From then on the node is used in RESP2. A keyed write may be retried under its key.
     client.set(2, "put", 9_000, "v");
     let (mut node, command) = nodes.command();
     assert_eq!(command[0], "CACHE.SET");
@@ -289,9 +289,9 @@
 }
 
 #[test]
-fn a_keyed_write_behind_a_greeting_that_broke_goes_out_again_under_its_key() {
+fn a_keyed_write_behind_a_hello_answered_by_a_reset_is_retried_under_its_key() {
     let nodes = Server::many(2);
-    let proxy = greeting(&nodes);
+    let proxy = start_with_resp3_nodes(&nodes);
     let mut client = proxy.client();
     client.set(1, "put", 15_000, "v");
     let (mut node, _) = nodes.command();
@@ -309,25 +309,26 @@
 }
 
 #[test]
-fn a_key_whose_nodes_speak_different_protocols_is_repeated_on_the_other() {
-    let mut firsts = Vec::new();
+fn a_read_is_retried_on_a_node_with_another_protocol() {
+    let mut first_nodes = Vec::new();
     for key in 0..6 {
         let nodes = Server::many(2);
-        let proxy = greeting(&nodes);
+        let proxy = start_with_resp3_nodes(&nodes);
         let mut peers: Vec<Peer> = Vec::new();
-        let (mut client, null) = if key % 2 == 0 { (proxy.client(), "$-1") } else { (three(&proxy), "_") };
+        let (mut client, null) =
+            if key % 2 == 0 { (proxy.client(), "$-1") } else { (resp3_client(&proxy), "_") };
         client.get(key, "read", 15_000);
-        let mut asked = Vec::new();
-        // The first attempt is turned away, wherever it goes; the first node speaks RESP3, the second one RESP2.
-        while asked.len() < 2 {
+        let mut node_order = Vec::new();
+        // The first attempt is rejected by either node; the first node speaks RESP3, the second RESP2.
+        while node_order.len() < 2 {
             let (i, command) = nodes.any(&mut peers);
             let node = &mut peers[i];
             match (&command[0][..], node.at) {
                 ("HELLO", 0) => node.send(HELLO),
                 ("HELLO", _) => node.send("-ERR unknown command\r\n"),
                 (_, at) => {
-                    asked.push(at);
-                    node.send(match (asked.len(), at) {
+                    node_order.push(at);
+                    node.send(match (node_order.len(), at) {
                         (1, 0) => "!4\r\nBUSY\r\n",
                         (1, _) => "-BUSY\r\n",
                         (_, 0) => "%2\r\n+note\r\n+hit\r\n+value\r\n$1\r\nv\r\n",
@@ -336,39 +337,39 @@
                 }
             }
         }
-        assert_ne!(asked[0], asked[1]);
-        assert_eq!(answer(&mut client), ["v", "hit", null]);
-        firsts.push(asked[0]);
+        assert_ne!(node_order[0], node_order[1]);
+        assert_eq!(read_response_lines(&mut client), ["v", "hit", null]);
+        first_nodes.push(node_order[0]);
     }
-    assert!(firsts.contains(&0) && firsts.contains(&1), "{firsts:?}");
+    assert!(first_nodes.contains(&0) && first_nodes.contains(&1), "{first_nodes:?}");
 }
 
 #[test]
-fn pushes_are_read_wherever_they_stand_and_never_reach_a_client() {
+fn pushes_are_consumed_at_any_position_and_never_reach_a_client() {
     let nodes = Server::start();
-    let proxy = greeting(&nodes);
-    let mut client = three(&proxy);
+    let proxy = start_with_resp3_nodes(&nodes);
+    let mut client = resp3_client(&proxy);
     let big = format!(">2\r\n+message\r\n$65536\r\n{}\r\n", "\n>".repeat(32 << 10));
     let replies = [
-        // Before the reply and behind it.
+        // Before and after the reply.
         format!("{PUSH}*3\r\n$1\r\nv\r\n+hit\r\n_\r\n{PUSH}"),
         // Between elements, and between the chunks of one.
         format!("*3\r\n$?\r\n;1\r\nv\r\n{PUSH};0\r\n{PUSH}+hit\r\n{PUSH}_\r\n"),
         // In a map, before its value, and in an attribute.
         format!("|1\r\n+load\r\n{PUSH}_\r\n{PUSH}%2\r\n+value\r\n{PUSH}$1\r\nv\r\n+note\r\n+hit\r\n"),
-        // As long as a value may be, nested, and full of what looks like one.
+        // At the maximum length, nested, and containing bytes that look like a push.
         format!("*3\r\n{big}$1\r\nv\r\n>3\r\n+x\r\n*1\r\n*1\r\n~1\r\n:1\r\n%1\r\n+a\r\n_\r\n+hit\r\n_\r\n"),
     ];
     client.get(1, "read", 9_000);
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     for reply in &replies {
-        // Cut where a push stands.
+        // Split at the middle.
         let (head, tail) = reply.split_at(reply.len() / 2);
         node.send(head);
         std::thread::sleep(Duration::from_millis(5));
         node.send(tail);
-        assert_eq!(answer(&mut client), ["v", "hit", "_"], "{reply:?}");
-        // On a connection at rest too; the next request still goes out on it.
+        assert_eq!(read_response_lines(&mut client), ["v", "hit", "_"], "{reply:?}");
+        // On an idle connection too, which the next request still uses.
         node.send(PUSH);
         client.get(1, "read", 9_000);
         assert_eq!(node.command()[0], "CACHE.GET");
@@ -382,15 +383,15 @@
 }
 
 #[test]
-fn what_is_no_reply_fails_its_request_and_ends_its_connection() {
+fn an_invalid_resp3_reply_fails_its_request_and_closes_the_connection() {
     let start = |nodes: &Server| {
-        Proxy::operated(nodes, GREETED, |c| c["settings"]["caps"]["attempts_cap"] = json!(1))
+        Proxy::operated(nodes, RESP3_ENABLED, |c| c["settings"]["caps"]["attempts_cap"] = json!(1))
     };
     let endless_string = format!("*3\r\n$?\r\n{}", format!(";4096\r\n{}\r\n", "x".repeat(4096)).repeat(40));
     let endless_push = format!(">9\r\n{}", format!("$65000\r\n{}\r\n", "x".repeat(65_000)).repeat(8));
     let double = format!(",{}", "1".repeat(1 << 20));
     let deep = "*1\r\n".repeat(10_000);
-    for bad in [
+    for invalid in [
         &endless_string[..],
         &endless_push,
         &double,
@@ -409,20 +410,20 @@
         let proxy = start(&nodes);
         let mut client = proxy.client();
         client.set(1, "once", 9_000, "v");
-        let (mut node, _) = greeted(&nodes);
-        // The proxy may close before all is written.
-        let _ = node.stream.write_all(bad.as_bytes());
-        assert_eq!(client.line(), "-ERR failed", "{:?}", bad.get(..40).unwrap_or(bad));
+        let (mut node, _) = accept_and_answer_hello(&nodes);
+        // The proxy may close before everything is written.
+        let _ = node.stream.write_all(invalid.as_bytes());
+        assert_eq!(client.line(), "-ERR failed", "{:?}", invalid.get(..40).unwrap_or(invalid));
         while node.stream_is_open() {}
         proxy.is_well();
-        assert!(proxy.status("VmHWM") < 16 << 10, "{} kB", proxy.status("VmHWM"));
+        assert!(proxy.status("VmHWM") < 16 << 10, "peak of {} kB", proxy.status("VmHWM"));
     }
-    // Replies that carry no value fail theirs, and leave the connection to others.
+    // Valid replies without a value fail their request and keep the connection usable.
     let nodes = Server::start();
     let proxy = start(&nodes);
     let mut client = proxy.client();
     client.set(1, "once", 9_000, "v");
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     for none in
         ["_\r\n", "#t\r\n", ":1\r\n", "+OK\r\n", "*0\r\n", "~1\r\n$1\r\nv\r\n", "%1\r\n+more\r\n_\r\n"]
     {
@@ -436,49 +437,49 @@
 }
 
 #[test]
-fn a_push_is_no_answer_and_a_reply_that_nobody_asked_for_ends_the_connection() {
+fn a_push_answers_no_request_and_an_unsolicited_reply_closes_the_connection() {
     let nodes = Server::start();
-    let proxy = Proxy::operated(&nodes, GREETED, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
+    let proxy = Proxy::operated(&nodes, RESP3_ENABLED, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
     let mut client = proxy.client();
     client.set(1, "once", 700, "v");
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     for _ in 0..8 {
         node.send(PUSH);
     }
     assert_eq!(client.line(), "-ERR failed");
     drop(node);
     client.get(1, "read", 9_000);
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     node.send("*3\r\n$1\r\nv\r\n+hit\r\n_\r\n");
     assert_eq!(client.command()[0], "v");
-    // Not even one that is only begun.
+    // An incomplete unsolicited reply closes the connection too.
     node.send("*3\r\n");
     while node.stream_is_open() {}
     client.get(1, "read", 9_000);
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     node.send("*3\r\n$1\r\nw\r\n+hit\r\n_\r\n");
     assert_eq!(client.command()[0], "w");
 }
 
 #[test]
-fn a_push_that_is_slow_to_end_on_a_connection_at_rest_does_not_hold_up_the_next_request() {
+fn an_incomplete_push_on_an_idle_connection_does_not_delay_the_next_request() {
     let nodes = Server::start();
-    let proxy = greeting(&nodes);
+    let proxy = start_with_resp3_nodes(&nodes);
     let mut client = proxy.client();
     client.get(1, "read", 9_000);
-    let (mut node, _) = greeted(&nodes);
+    let (mut node, _) = accept_and_answer_hello(&nodes);
     node.send("*3\r\n$1\r\nv\r\n+hit\r\n_\r\n>2\r\n+mess");
     assert_eq!(client.command()[0], "v");
     client.get(1, "read", 9_000);
-    let (mut second, _) = greeted(&nodes);
+    let (mut second, _) = accept_and_answer_hello(&nodes);
     second.send("*3\r\n$1\r\nw\r\n+hit\r\n_\r\n");
     assert_eq!(client.command()[0], "w");
-    // One that stays silent within a push is closed.
+    // A connection that stalls within a push is closed.
     while node.stream_is_open() {}
 }
 
 #[test]
-fn operators_files_that_cannot_hold_stop_the_start_with_the_key() {
+fn an_invalid_operator_file_fails_startup_and_names_the_key() {
     let check = |text: &str| {
         let file = scratch("operator.toml");
         std::fs::write(&file, text).expect("written");
@@ -491,8 +492,8 @@
             .expect("run");
         (out.status.success(), String::from_utf8_lossy(&out.stderr).into_owned())
     };
-    let (fine, said) = check(&users());
-    assert!(fine, "{said}");
+    let (accepted, stderr) = check(&operator_file_with_users());
+    assert!(accepted, "{stderr}");
     for (text, named) in [
         (
             "clients.users = [{ name = \"a\", password = \"plain\" }]",
@@ -507,7 +508,7 @@
             "boxes.password_file: /nowhere: can't be read",
         ),
     ] {
-        let (fine, said) = check(&format!("version = 1\n{text}"));
-        assert!(!fine && said.contains(named), "{said}");
+        let (accepted, stderr) = check(&format!("version = 1\n{text}"));
+        assert!(!accepted && stderr.contains(named), "{stderr}");
     }
 }
