--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -2,7 +2,7 @@
 
 use crate::results::Record;
 use crate::Failure;
-use model::Chance;
+use model::RandomSource;
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -46,7 +46,7 @@
     let all: Vec<f64> = pairs.iter().map(|(a, b)| b - a).collect();
     let n = all.len();
     let mean = |sum: f64| sum / n.max(1) as f64;
-    let mut chance = Chance::new(n as u64, 9);
+    let mut chance = RandomSource::new(n as u64, 9);
     let mut means: Vec<f64> = (0..DRAWS).map(|_| mean((0..n).map(|_| all[chance.below(n)]).sum())).collect();
     means.sort_by(f64::total_cmp);
     let at = |q: f64| means[(q * (DRAWS - 1) as f64) as usize];
@@ -132,7 +132,7 @@
 
     #[test]
     fn a_difference_is_shown_where_there_is_one() {
-        let mut chance = Chance::new(5, 5);
+        let mut chance = RandomSource::new(5, 5);
         let mut pairs = |by: f64| -> Vec<(f64, f64)> {
             (0..30)
                 .map(|_| chance.unit())
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
-use model::Chance;
+use model::RandomSource;
 use resp::{HelloReplyParser, Protocol, ReplyKind, ReplyReader, ServerMessage};
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -214,7 +214,7 @@
 struct Worker<'a> {
     args: &'a Args,
     number: usize,
-    chance: Chance,
+    chance: RandomSource,
     /// Weights of the classes, and of the tenants.
     weights: [Vec<f64>; 2],
     poll: Poll,
@@ -538,7 +538,7 @@
         let worker = Worker {
             args,
             number,
-            chance: Chance::new(args.seed, number as u64),
+            chance: RandomSource::new(args.seed, number as u64),
             weights: [
                 args.classes.iter().map(|c| c.weight).collect(),
                 args.tenants.iter().map(|t| t.1).collect(),
--- a/crates/model/src/arrivals.rs
+++ b/crates/model/src/arrivals.rs
@@ -1,6 +1,6 @@
 //! The requests of a scenario: the same for the same seed, wherever it is played.
 
-use crate::chance::{Chance, Zipf};
+use crate::random::{RandomSource, Zipf};
 use crate::{seconds, Nanos, Scenario};
 
 /// A request of a client.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
-    chance: Chance,
+    chance: RandomSource,
     zipf: Zipf,
     peak: f64,
     now: Nanos,
@@ -29,7 +29,7 @@
     pub fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let peak = scenario.traffic.curve.iter().map(|p| p.times).fold(1.0, f64::max);
         let zipf = Zipf::new(scenario.traffic.keys, scenario.traffic.zipf);
-        Arrivals { scenario, chance: Chance::new(seed, 1), zipf, peak, now: 0 }
+        Arrivals { scenario, chance: RandomSource::new(seed, 1), zipf, peak, now: 0 }
     }
 }
 
--- a/crates/model/src/rivals.rs
+++ b/crates/model/src/baseline_policies.rs
@@ -2,8 +2,8 @@
 //! has half of the time that is left, the last all of it; what may be repeated is, at another box; nothing is turned
 //! away before it was tried.
 
-use crate::chance::Chance;
 use crate::policy::{Policy, Shipped, Truth};
+use crate::random::RandomSource;
 use calicosaddle::api::*;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -35,7 +35,7 @@
         "oracle" => Rule::Oracle,
         _ => return None,
     };
-    Some(Box::new(Rival::new(rule, settings.clone(), seed)))
+    Some(Box::new(BaselinePolicy::new(rule, settings.clone(), seed)))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,10 +81,10 @@
     turn: usize,
 }
 
-struct Rival {
+struct BaselinePolicy {
     rule: Rule,
     settings: Settings,
-    chance: Chance,
+    chance: RandomSource,
     boxes: Vec<ServerEntry>,
     out: FxHashMap<ServerId, u32>,
     open: FxHashMap<RequestId, Open>,
@@ -98,12 +98,12 @@
     x ^ (x >> 31)
 }
 
-impl Rival {
+impl BaselinePolicy {
     fn new(rule: Rule, settings: Settings, seed: u64) -> Self {
-        Rival {
+        BaselinePolicy {
             rule,
             settings,
-            chance: Chance::new(seed, 77),
+            chance: RandomSource::new(seed, 77),
             boxes: Vec::new(),
             out: FxHashMap::default(),
             open: FxHashMap::default(),
@@ -273,7 +273,7 @@
     }
 }
 
-impl Policy for Rival {
+impl Policy for BaselinePolicy {
     fn handle(&mut self, now: Nanos, event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
         match event {
             Event::ServerList { kind, entries } => self.list(kind, entries, actions),
--- a/crates/model/src/boxes.rs
+++ b/crates/model/src/boxes.rs
@@ -1,6 +1,6 @@
 //! A cache box: few cores before a queue, connections that cost work, a cold ramp and a fall, a keyed cache.
 
-use crate::chance::Chance;
+use crate::random::RandomSource;
 use crate::scenario::Kind;
 use crate::{millis, seconds, Nanos};
 use calicosaddle::api::{ServerId, Status};
@@ -143,7 +143,7 @@
     }
 
     /// How long a piece of work takes that begins now.
-    pub fn takes(&self, job: &Job, now: Nanos, chance: &mut Chance) -> Nanos {
+    pub fn takes(&self, job: &Job, now: Nanos, chance: &mut RandomSource) -> Nanos {
         let work = if job.handshake { self.handshake } else { self.work[usize::from(job.write.is_some())] };
         let by_chance = if self.spread > 0.0 { 1.0 + self.spread * (2.0 * chance.unit() - 1.0) } else { 1.0 };
         (work as f64 * by_chance * self.slowness(now) / (self.speed * self.warmth(now))) as Nanos
@@ -206,7 +206,7 @@
     }
 
     /// Of an answer that is ready: what becomes of it on the way out.
-    pub fn spoilt(&self, chance: &mut Chance) -> Option<Status> {
+    pub fn spoilt(&self, chance: &mut RandomSource) -> Option<Status> {
         if chance.happens(self.resets) {
             Some(Status::Reset)
         } else if chance.happens(self.spoils) {
@@ -217,7 +217,7 @@
     }
 
     /// What a good answer brings beside itself, and how much later.
-    pub fn too_much(&self, answer: Answer, chance: &mut Chance) -> Option<(Answer, Nanos)> {
+    pub fn too_much(&self, answer: Answer, chance: &mut RandomSource) -> Option<(Answer, Nanos)> {
         let Surplus { part, copy, late } = self.surplus;
         if answer.status != Status::Ok || !chance.happens(part) {
             return None;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,24 +4,24 @@
 //! ends. What it leaves out is said in `docs/design/lab.md`.
 
 mod arrivals;
+mod baseline_policies;
 mod boxes;
-mod chance;
 mod copies;
 mod discovery;
 mod host;
 mod judge;
 mod origin;
 mod policy;
-mod rivals;
+mod random;
 mod scenario;
 mod sim;
 mod summary;
 
 pub use arrivals::{Arrival, Arrivals};
-pub use chance::Chance;
+pub use baseline_policies::{make, NAMES};
 pub use judge::{Breach, Rule};
 pub use policy::{Policy, Truth};
-pub use rivals::{make, NAMES};
+pub use random::RandomSource;
 pub use scenario::{Fault, FaultSpec, Holds, Kind, Problem, Scenario, Which, VERSION};
 pub use sim::{run, run_with, Options};
 pub use summary::{Ended, Gathered, Second, Summary, SCHEMA};
--- a/crates/model/src/chance.rs
+++ b/crates/model/src/random.rs
@@ -1,17 +1,17 @@
-//! Chance from a seed, the same on any machine: the generator is xoshiro256++, and logarithms and powers come from a
+//! Random numbers from a seed, the same on any machine: the generator is xoshiro256++, and logarithms and powers come from a
 //! library of their own instead of the system's.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// A source of chance.
+/// A seeded source of random numbers.
 #[derive(Clone, Debug)]
-pub struct Chance(Xoshiro256PlusPlus);
+pub struct RandomSource(Xoshiro256PlusPlus);
 
-impl Chance {
+impl RandomSource {
     /// From a seed, for one purpose: streams of different purposes don't disturb each other.
     pub fn new(seed: u64, purpose: u64) -> Self {
-        Chance(Xoshiro256PlusPlus::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        RandomSource(Xoshiro256PlusPlus::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
     }
 
     /// Any number.
@@ -83,7 +83,7 @@
     }
 
     /// A rank.
-    pub fn draw(&self, chance: &mut Chance) -> u64 {
+    pub fn draw(&self, chance: &mut RandomSource) -> u64 {
         loop {
             let u = self.high + chance.unit() * (self.low - self.high);
             let x = self.inverse(u);
@@ -102,7 +102,7 @@
     #[test]
     fn ranks_follow_the_law() {
         for s in [0.0, 0.8, 1.0, 1.3] {
-            let (zipf, mut chance, mut seen) = (Zipf::new(50, s), Chance::new(7, 1), [0.0; 50]);
+            let (zipf, mut chance, mut seen) = (Zipf::new(50, s), RandomSource::new(7, 1), [0.0; 50]);
             const DRAWS: usize = 200_000;
             for _ in 0..DRAWS {
                 seen[zipf.draw(&mut chance) as usize] += 1.0 / DRAWS as f64;
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario: an installation, its traffic, what goes wrong, and what must hold. The format is `docs/scenarios.md`.
 
-use crate::chance::Chance;
+use crate::random::RandomSource;
 use crate::{millis, seconds, Nanos};
 use calicosaddle::api::{Class, DedupScope, RetrySafety, Settings};
 use pipeline::{PipelineConfig, PlacementPolicy, SettleDelay};
@@ -411,7 +411,7 @@
             Which::These(these) => these.clone(),
             Which::Part(part) => {
                 let mut all: Vec<usize> = (0..of).collect();
-                Chance::new(seed, 100 + number).shuffle(&mut all);
+                RandomSource::new(seed, 100 + number).shuffle(&mut all);
                 all.truncate((part * of as f64).round() as usize);
                 all.sort_unstable();
                 all
@@ -762,9 +762,9 @@
 
     /// All faults of a run: those written, and those drawn from the seed.
     pub fn faults(&self, seed: u64) -> Vec<FaultSpec> {
-        let mut chance = Chance::new(seed, 3);
+        let mut chance = RandomSource::new(seed, 3);
         let mut all = self.faults.clone();
-        let part = |chance: &mut Chance| Which::Part(0.05 + 0.2 * chance.unit());
+        let part = |chance: &mut RandomSource| Which::Part(0.05 + 0.2 * chance.unit());
         for _ in 0..self.random_faults {
             let at_s = self.warm_s + (self.duration_s - self.warm_s) * 0.6 * chance.unit();
             let lasts_s = Some((self.duration_s - self.warm_s) * (0.1 + 0.2 * chance.unit()));
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -2,13 +2,13 @@
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::boxes::{Answer, CacheBox, Job, Surplus};
-use crate::chance::Chance;
 use crate::copies::{Copies, Step, CANDIDATE};
 use crate::discovery::Discovery;
 use crate::host::{Connection, Host, Known};
 use crate::judge::{Breaches, Rule};
 use crate::origin::Origin;
 use crate::policy::Policy;
+use crate::random::RandomSource;
 use crate::scenario::{Ask, Fault, Scenario, Which};
 use crate::summary::{Ended, Gathered, Second, Summary};
 use crate::{millis, seconds, Nanos, MS, SECOND};
@@ -213,8 +213,8 @@
     /// How connections to boxes are chosen.
     pub pipes: pipeline::PipelineConfig,
     arrivals: Arrivals<'a>,
-    clients: Chance,
-    work: Chance,
+    clients: RandomSource,
+    work: RandomSource,
     pub actions: Vec<Action>,
     pub breaches: Breaches,
     pub wasted: u64,
@@ -227,7 +227,7 @@
 
 /// Weights between 1 and `uneven`, log-uniform.
 fn weights(scenario: &Scenario, seed: u64) -> Vec<f64> {
-    let (uneven, mut chance, mut sum) = (scenario.traffic.uneven, Chance::new(seed, 5), 0.0);
+    let (uneven, mut chance, mut sum) = (scenario.traffic.uneven, RandomSource::new(seed, 5), 0.0);
     let mut next = |_| {
         sum += uneven.powf(chance.unit());
         sum
@@ -276,8 +276,8 @@
             idle_after: (seconds(t.idle_s) as f64 * IDLE_PART) as Nanos,
             pipes: t.pipes(),
             arrivals: Arrivals::new(scenario, seed),
-            clients: Chance::new(seed, 2),
-            work: Chance::new(seed, 4),
+            clients: RandomSource::new(seed, 2),
+            work: RandomSource::new(seed, 4),
             actions: Vec::new(),
             breaches: Breaches::default(),
             wasted: 0,
@@ -402,7 +402,7 @@
         let host = &mut self.hosts[proxy];
         host.alive = true;
         let life = u64::from(host.life);
-        let seed = Chance::new(self.seed, 1_000 + proxy as u64 + (life << 32)).bits();
+        let seed = RandomSource::new(self.seed, 1_000 + proxy as u64 + (life << 32)).bits();
         host.policy = Some((self.make)(proxy, &settings, seed));
         self.copies.iter_mut().for_each(|c| c.start(proxy, settings.proxy_count, self.now));
         let mut entries = Vec::new();
