--- a/crates/shadow/src/budget.rs
+++ b/crates/shadow/src/budget.rs
@@ -1,107 +1,108 @@
-//! What copying may use. Each bound holds in every second, however the seconds are laid, and whatever the clock does.
+//! Budgets of copying. Each limit holds in every window of one second, at any offset and also if the clock goes backwards.
 
 use crate::{Nanos, SECOND};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// The most of these times that lie in one second: what a budget is judged by.
+/// The greatest number of these times in any window of one second, to check a budget.
 pub fn max_in_any_second(mut times: Vec<Nanos>) -> usize {
     times.sort_unstable();
     let within = times.iter().enumerate().map(|(i, t)| times[i..].partition_point(|u| *u < t + SECOND));
     within.max().unwrap_or(0)
 }
 
-/// At most so many in any second: the last ones are remembered, so there is no burst at a second's edge.
+/// Limits events in any window of one second. The times of the last events are kept, so there is no burst at the edge of
+/// a fixed window.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    most: usize,
-    last: VecDeque<Nanos>,
+    limit: usize,
+    recent: VecDeque<Nanos>,
 }
 
 impl RateLimiter {
-    /// So many a second.
-    pub fn new(most: usize) -> Self {
-        RateLimiter { most, last: VecDeque::new() }
+    /// With a limit per second.
+    pub fn new(limit: usize) -> Self {
+        RateLimiter { limit, recent: VecDeque::new() }
     }
 
-    /// One more is allowed.
+    /// Whether one more is allowed.
     pub fn allows(&self, now: Nanos) -> bool {
-        self.most > 0 && (self.last.len() < self.most || self.last[0] + SECOND <= now)
+        self.limit > 0 && (self.recent.len() < self.limit || self.recent[0] + SECOND <= now)
     }
 
-    /// One more is done.
+    /// Counts one event.
     pub fn take(&mut self, now: Nanos) {
-        if self.last.len() >= self.most {
-            self.last.pop_front();
+        if self.recent.len() >= self.limit {
+            self.recent.pop_front();
         }
-        self.last.push_back(now);
+        self.recent.push_back(now);
     }
 }
 
-/// The part that one proxy has of what all together may do in a second.
+/// The share of one proxy in a budget of all proxies.
 ///
-/// Half of the whole is shared out. Danger: proxies don't talk. One that believes that it is alone takes that half, and
-/// all others together have no more than the other; so the whole still holds with one that is wrong.
-pub fn proxy_share(whole: u32, proxies: u32, index: u32) -> u32 {
-    let (half, proxies) = (whole / 2, proxies.max(1));
+/// Only half of the budget is divided. Proxies do not communicate, and one with a wrong count may believe that it is alone:
+/// it then takes that half, the others together have at most the other half, and the budget still holds.
+pub fn proxy_share(budget: u32, proxies: u32, index: u32) -> u32 {
+    let (half, proxies) = (budget / 2, proxies.max(1));
     half / proxies + u32::from(index < half % proxies)
 }
 
-/// Misses that candidates may be caused in any second: each takes a read from the origin.
+/// Limits the misses that copies cause at candidates in any second, because each miss costs a read from the origin.
 ///
-/// A copy counts as a miss from when it is sent. Only its own `hit` frees that at once. Else the fetch may have begun at
-/// any time until the copy was answered or its time was up, and the place is held for a second beyond that: so all
-/// fetches of any one second had their places at the same moment, and there are not more places than `most`.
+/// A copy takes a slot when it is sent. Only an answer that reports a hit frees the slot at once. Otherwise the fetch may
+/// have begun at any time until the answer or the deadline of the copy, and the slot stays taken for one second after
+/// that. So all fetches of any one second held their slots at the same moment, and there are only `limit` slots.
 #[derive(Clone, Debug)]
 pub struct MissBudget {
-    most: usize,
-    /// Copies that are not answered, and until when a fetch for them may begin.
+    limit: usize,
+    /// The deadlines of unanswered copies, until which a fetch for them may begin.
     open: BTreeMap<u64, Nanos>,
-    /// Places that are free again from then on.
+    /// The times at which slots of ended copies become free.
     held: BinaryHeap<Reverse<Nanos>>,
 }
 
 impl MissBudget {
-    /// So many in any second.
-    pub fn new(most: usize) -> Self {
-        MissBudget { most, open: BTreeMap::new(), held: BinaryHeap::new() }
+    /// With a limit per second.
+    pub fn new(limit: usize) -> Self {
+        MissBudget { limit, open: BTreeMap::new(), held: BinaryHeap::new() }
     }
 
-    /// From now on so many. What is taken stays taken.
-    pub fn set_limit(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the limit. Slots that are taken stay taken.
+    pub fn set_limit(&mut self, limit: usize) {
+        self.limit = limit;
     }
 
-    /// Places that are taken.
+    /// The number of slots that are taken.
     pub fn taken(&self) -> usize {
         self.open.len() + self.held.len()
     }
 
-    /// One more is allowed.
+    /// Whether one more is allowed.
     pub fn allows(&mut self, now: Nanos) -> bool {
         while self.held.peek().is_some_and(|free| free.0 <= now) {
             self.held.pop();
         }
-        self.taken() < self.most
+        self.taken() < self.limit
     }
 
-    /// A copy is sent; a fetch for it may begin until then.
-    pub fn take(&mut self, copy: u64, until: Nanos) {
-        self.open.insert(copy, until);
+    /// Takes a slot for a copy; a fetch for it may begin until its deadline.
+    pub fn take(&mut self, copy: u64, deadline: Nanos) {
+        self.open.insert(copy, deadline);
     }
 
-    /// A copy ended: by an answer, which says whether it was a `hit`, or without one.
-    pub fn release(&mut self, copy: u64, answered: Option<bool>, now: Nanos) {
-        let Some(until) = self.open.remove(&copy) else { return };
-        match answered {
+    /// Records the end of a copy. `hit` says whether its answer was a hit; it is `None` without an answer.
+    pub fn release(&mut self, copy: u64, hit: Option<bool>, now: Nanos) {
+        let Some(deadline) = self.open.remove(&copy) else { return };
+        match hit {
             Some(true) => {}
             Some(false) => self.held.push(Reverse(now + SECOND)),
-            None => self.held.push(Reverse(until.max(now) + SECOND)),
+            None => self.held.push(Reverse(deadline.max(now) + SECOND)),
         }
     }
 }
 
-/// Time of the loop that copying has used, in tenths of a second; the last whole second of them counts.
+/// The time of the event loop that copying has used, summed over the last second in buckets of a tenth of a second.
 #[derive(Clone, Debug, Default)]
 pub struct CpuUsage {
     tenths: [Nanos; CpuUsage::TENTHS],
@@ -109,11 +110,11 @@
 }
 
 impl CpuUsage {
-    /// A second, and the tenth that is under way.
+    /// One second and the tenth in progress.
     const TENTHS: usize = 11;
     const TENTH: Nanos = SECOND / 10;
 
-    fn turn(&mut self, now: Nanos) {
+    fn advance(&mut self, now: Nanos) {
         let tenth = now / CpuUsage::TENTH;
         let gone = tenth.saturating_sub(self.at).min(CpuUsage::TENTHS as Nanos);
         for i in 0..gone {
@@ -122,15 +123,15 @@
         self.at = self.at.max(tenth);
     }
 
-    /// So much was used.
+    /// Adds time used.
     pub fn add(&mut self, now: Nanos, used: Nanos) {
-        self.turn(now);
+        self.advance(now);
         self.tenths[(self.at % CpuUsage::TENTHS as Nanos) as usize] += used;
     }
 
-    /// Used in the last second.
+    /// The time used in the last second.
     pub fn last_second(&mut self, now: Nanos) -> Nanos {
-        self.turn(now);
+        self.advance(now);
         self.tenths.iter().sum()
     }
 }
@@ -145,7 +146,7 @@
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
         #[test]
-        fn a_rate_is_never_passed_in_any_second(
+        fn a_rate_limit_holds_in_any_second(
             most in 0_usize..20,
             gaps in proptest::collection::vec(0_u64..120, 1..400),
         ) {
@@ -161,37 +162,39 @@
         }
 
         #[test]
-        fn fetches_at_the_origin_never_pass_the_misses_of_any_second(
+        fn fetches_from_the_origin_stay_within_the_miss_budget_in_any_second(
             most in 0_usize..12,
             copies in proptest::collection::vec((0_u64..60, 0_u64..300, 0_u64..4, 0.0_f64..1.0), 1..300),
         ) {
-            // Each copy: a gap before it, when it is answered, how it ends, and when in its time it is fetched.
-            const TIME: Nanos = 250 * MS;
+            // Each copy: the gap before it, when it is answered, how it ends, and at which fraction of its time it is
+            // fetched.
+            const TIMEOUT: Nanos = 250 * MS;
             let (mut misses, mut now) = (MissBudget::new(most), 0);
             let (mut ends, mut fetched) = (BinaryHeap::new(), Vec::new());
-            for (copy, (gap, answer, how, when)) in copies.into_iter().enumerate() {
+            for (copy, (gap, answer, ending, when)) in copies.into_iter().enumerate() {
                 now += gap * MS;
-                while let Some(Reverse((at, copy, said))) = ends.pop() {
+                while let Some(Reverse((at, copy, answer_hit))) = ends.pop() {
                     if at > now {
-                        ends.push(Reverse((at, copy, said)));
+                        ends.push(Reverse((at, copy, answer_hit)));
                         break;
                     }
-                    misses.release(copy, said, at);
+                    misses.release(copy, answer_hit, at);
                 }
                 if !misses.allows(now) {
                     continue;
                 }
                 let copy = copy as u64;
-                misses.take(copy, now + TIME);
-                let (end, said, hits) = match how {
-                    0 => (now + TIME.min(answer * MS), Some(true), true),
-                    1 => (now + TIME.min(answer * MS), Some(false), false),
-                    // Given up early, fetched whenever in its time: by a box that was cut off, or slow.
-                    _ => (now + (answer * MS).min(TIME), None, false),
+                misses.take(copy, now + TIMEOUT);
+                let (end, answer_hit, hits) = match ending {
+                    0 => (now + TIMEOUT.min(answer * MS), Some(true), true),
+                    1 => (now + TIMEOUT.min(answer * MS), Some(false), false),
+                    // Ended early without an answer, because the box is disconnected or slow; fetched at any time
+                    // until the deadline.
+                    _ => (now + (answer * MS).min(TIMEOUT), None, false),
                 };
-                ends.push(Reverse((end, copy, said)));
+                ends.push(Reverse((end, copy, answer_hit)));
                 if !hits {
-                    let last = if said.is_some() { end } else { now + TIME };
+                    let last = if answer_hit.is_some() { end } else { now + TIMEOUT };
                     fetched.push(now + ((last - now) as f64 * when) as Nanos);
                 }
             }
@@ -199,21 +202,21 @@
         }
 
         #[test]
-        fn parts_of_all_proxies_are_under_the_whole_also_with_one_that_believes_otherwise(
-            whole in 0_u32..5_000,
+        fn shares_of_all_proxies_stay_within_the_budget_even_if_one_has_a_wrong_proxy_count(
+            budget in 0_u32..5_000,
             proxies in 1_u32..300,
             wrong in 0_u32..300,
-            believed in 1_u32..300,
+            wrong_count in 1_u32..300,
         ) {
-            let own = |i| if i == wrong { proxy_share(whole, believed, i) } else { proxy_share(whole, proxies, i) };
+            let own = |i| if i == wrong { proxy_share(budget, wrong_count, i) } else { proxy_share(budget, proxies, i) };
             let all: u32 = (0..proxies).map(own).sum();
-            prop_assert!(all <= whole);
-            let right: u32 = (0..proxies).map(|i| proxy_share(whole, proxies, i)).sum();
-            prop_assert_eq!(right, whole / 2);
+            prop_assert!(all <= budget);
+            let right: u32 = (0..proxies).map(|i| proxy_share(budget, proxies, i)).sum();
+            prop_assert_eq!(right, budget / 2);
         }
 
         #[test]
-        fn work_of_the_last_second_is_never_counted_less_than_it_was(
+        fn cpu_usage_of_the_last_second_is_never_underestimated(
             adds in proptest::collection::vec((0_u64..300, 0_u64..5), 1..200),
         ) {
             let (mut work, mut now, mut all) = (CpuUsage::default(), 0, Vec::new());
--- a/crates/shadow/src/compare.rs
+++ b/crates/shadow/src/compare.rs
@@ -1,42 +1,42 @@
-//! The comparison: what the candidate answered beside what the live box had.
+//! The comparison of a candidate's answer with that of the live box.
 //!
-//! Both were read one after the other, so a record may have changed between. A difference therefore counts only once it
-//! has been asked for again: with the next live read of the same key, whose answer tells whether the record changed.
+//! The two reads follow one another, so the record may have changed in between. A difference of values therefore stays
+//! pending until the next copied read of the same key, whose answers tell whether the record had changed.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one side had.
+/// The outcome of a read at one side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// A value with this digest.
     Value(u64),
-    /// It says that there is no such record.
+    /// An answer that there is no such record.
     Missing,
-    /// It turned the read away, unseen.
+    /// Rejected without processing.
     Busy,
-    /// Another error, an answer that can't be read or is too long, or a connection that ended.
+    /// Another error, an answer that is malformed or too long, or a closed connection.
     Error,
-    /// It had not answered when the copy's time was up.
+    /// No answer by the deadline of the copy.
     TimedOut,
 }
 
-/// How often what was found. Every copy that ended is in one of these, but for those in doubt still.
+/// Counts of the results of comparisons. Each ended copy is in one of them, except copies with a pending difference.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Both had the same.
+    /// Both sides had the same.
     pub equal: u64,
-    /// They differed, and the record was seen to change between the reads.
+    /// The values differed because the record had changed between the reads.
     pub changed: u64,
-    /// A write to the key, or another live value, was seen while the copy was out: nothing can be said.
+    /// A write to the key, or a new live value, was seen while the copy was open, so the answers cannot be compared.
     #[serde(rename = "crossed")]
     pub raced: u64,
     /// The candidate had an earlier value of the live side.
     pub stale: u64,
-    /// It had another value, also when asked again.
+    /// It had another value in both reads.
     pub wrong: u64,
-    /// It had another value, and the live one when asked again, which had not changed.
+    /// It had another value first and the live one in the second read, although the record had not changed.
     #[serde(rename = "passing")]
     pub transient: u64,
     /// It had no such record where the live side had one.
@@ -44,30 +44,30 @@
     /// It had a record where the live side had none.
     #[serde(rename = "surplus")]
     pub unexpected: u64,
-    /// It turned the copy away.
+    /// The candidate rejected the copy.
     pub busy: u64,
-    /// It failed.
+    /// The copy failed.
     pub error: u64,
-    /// It was late.
+    /// The copy timed out.
     #[serde(rename = "late")]
     pub timed_out: u64,
-    /// It differed, and was not read again in time, or there were too many doubts.
+    /// The values differed, but the key was not read again in time, or too many differences were pending.
     #[serde(rename = "unsettled")]
     pub unresolved: u64,
 }
 
 impl Tally {
-    /// Copies of which it is known whether they differ.
+    /// Copies with a known result, equal or different.
     pub fn compared(&self) -> u64 {
         self.equal + self.different()
     }
 
-    /// Those that do.
+    /// Copies whose answers differ.
     pub fn different(&self) -> u64 {
         self.stale + self.wrong + self.transient + self.missing + self.unexpected
     }
 
-    /// Takes in what another proxy found.
+    /// Adds the counts of another proxy.
     pub fn merge(&mut self, other: &Tally) {
         self.equal += other.equal;
         self.changed += other.changed;
@@ -84,7 +84,7 @@
     }
 }
 
-/// A difference that counts.
+/// The kind of a confirmed difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Difference {
@@ -102,91 +102,92 @@
     Unexpected,
 }
 
-/// A difference that waits for the next read of its key.
+/// A difference of values that waits for the next read of its key.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct PendingDifference {
     live: u64,
     candidate: u64,
-    at: Nanos,
+    since: Nanos,
 }
 
-/// Differences in doubt at the most.
+/// The most pending differences.
 pub const MAX_PENDING: usize = 256;
-/// Live values that are remembered at the most.
-const PLACES: usize = 4_096;
+/// Slots of the table of live values.
+const SLOTS: usize = 4_096;
 
-/// The last live values of keys, in a table of fixed size: a key drives out another one of the same slot.
+/// The current and the previous live value of keys, in a table of fixed size: a key replaces another one in its slot.
+/// An entry holds the hash of the key, the digest of the current value and that of the previous one.
 #[derive(Clone, Debug)]
-struct Lives(Vec<(u64, u64, Option<u64>)>);
+struct LiveValues(Vec<(u64, u64, Option<u64>)>);
 
-impl Lives {
-    fn slot(&self, place: u64) -> usize {
-        (place % PLACES as u64) as usize
+impl LiveValues {
+    fn slot(&self, key_hash: u64) -> usize {
+        (key_hash % SLOTS as u64) as usize
     }
 
-    /// The live side has this now. True if it had something else before.
-    fn note(&mut self, place: u64, digest: u64) -> bool {
-        let slot = self.slot(place);
-        let known = &mut self.0[slot];
-        if known.0 != place {
-            *known = (place, digest, None);
+    /// Records the current live value. True if it has changed.
+    fn record(&mut self, key_hash: u64, digest: u64) -> bool {
+        let slot = self.slot(key_hash);
+        let entry = &mut self.0[slot];
+        if entry.0 != key_hash {
+            *entry = (key_hash, digest, None);
             return false;
         }
-        let changed = known.1 != digest;
+        let changed = entry.1 != digest;
         if changed {
-            *known = (place, digest, Some(known.1));
+            *entry = (key_hash, digest, Some(entry.1));
         }
         changed
     }
 
-    /// What it had before the present value.
-    fn before(&self, place: u64) -> Option<u64> {
-        let known = self.0[self.slot(place)];
-        known.2.filter(|_| known.0 == place)
+    /// The digest of the value before the current one.
+    fn previous(&self, key_hash: u64) -> Option<u64> {
+        let entry = self.0[self.slot(key_hash)];
+        entry.2.filter(|_| entry.0 == key_hash)
     }
 }
 
-/// The comparison of both sides.
+/// Compares the answers of live boxes and candidates.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// What was found.
+    /// The results so far.
     pub tally: Tally,
-    doubts: BTreeMap<u64, Doubt>,
-    lives: Lives,
-    /// A doubt that has stood for so long is dropped.
-    patience: Nanos,
+    pending: BTreeMap<u64, PendingDifference>,
+    live_values: LiveValues,
+    /// A difference that has been pending for this long is given up.
+    max_pending_time: Nanos,
 }
 
 impl Comparison {
-    /// Nothing found. A difference is held in doubt for so long.
-    pub fn new(patience: Nanos) -> Self {
-        let lives = Lives(vec![(0, 0, None); PLACES]);
-        Comparison { tally: Tally::default(), doubts: BTreeMap::new(), lives, patience }
+    /// Without results. A difference is pending for at most `max_pending_time`.
+    pub fn new(max_pending_time: Nanos) -> Self {
+        let live_values = LiveValues(vec![(0, 0, None); SLOTS]);
+        Comparison { tally: Tally::default(), pending: BTreeMap::new(), live_values, max_pending_time }
     }
 
-    /// The live side answered a read. True if it had another value before.
-    pub fn record_live(&mut self, place: u64, digest: u64) -> bool {
-        self.lives.note(place, digest)
+    /// Records the value of a live read. True if it has changed.
+    pub fn record_live(&mut self, key_hash: u64, digest: u64) -> bool {
+        self.live_values.record(key_hash, digest)
     }
 
-    /// Differences that wait.
+    /// The number of pending differences.
     pub fn pending_count(&self) -> usize {
-        self.doubts.len()
+        self.pending.len()
     }
 
-    /// A difference of this key waits for its next read.
-    pub fn is_pending(&self, place: u64) -> bool {
-        self.doubts.contains_key(&place)
+    /// Whether a difference of this key is pending.
+    pub fn is_pending(&self, key_hash: u64) -> bool {
+        self.pending.contains_key(&key_hash)
     }
 
-    /// A copy ended. `crossed`: the record may have changed while it was out. What it showed, if that is a difference
-    /// which counts.
+    /// Records the outcomes of a copy and returns its difference, if one is confirmed. `raced` says that the record may have
+    /// changed while the copy was open.
     pub fn record_copy(
         &mut self,
-        place: u64,
+        key_hash: u64,
         live: ReadOutcome,
         candidate: ReadOutcome,
-        crossed: bool,
+        raced: bool,
         now: Nanos,
     ) -> Option<Difference> {
         let t = &mut self.tally;
@@ -194,7 +195,7 @@
             (_, ReadOutcome::Busy) => t.busy += 1,
             (_, ReadOutcome::Error) => t.error += 1,
             (_, ReadOutcome::TimedOut) => t.timed_out += 1,
-            _ if crossed => t.raced += 1,
+            _ if raced => t.raced += 1,
             (ReadOutcome::Missing, ReadOutcome::Missing) => t.equal += 1,
             (ReadOutcome::Value(_), ReadOutcome::Missing) => {
                 t.missing += 1;
@@ -205,27 +206,27 @@
                 return Some(Difference::Unexpected);
             }
             (ReadOutcome::Value(live), ReadOutcome::Value(candidate)) => {
-                return self.values(place, live, candidate, now)
+                return self.compare_values(key_hash, live, candidate, now)
             }
-            // A live side that failed has nothing to compare with.
+            // A failed live read leaves nothing to compare with.
             _ => t.unresolved += 1,
         }
         None
     }
 
-    fn values(&mut self, place: u64, live: u64, candidate: u64, now: Nanos) -> Option<Difference> {
-        if let Some(doubt) = self.doubts.remove(&place) {
-            let before = self.lives.before(place);
+    fn compare_values(&mut self, key_hash: u64, live: u64, candidate: u64, now: Nanos) -> Option<Difference> {
+        if let Some(pending) = self.pending.remove(&key_hash) {
+            let previous = self.live_values.previous(key_hash);
             let t = &mut self.tally;
-            let moved = doubt.live != live;
+            let live_changed = pending.live != live;
             let difference = if candidate == live {
                 t.equal += 1;
-                match (moved, before == Some(doubt.candidate)) {
+                match (live_changed, previous == Some(pending.candidate)) {
                     (true, _) => None,
                     (false, true) => Some(Difference::Stale),
                     (false, false) => Some(Difference::Transient),
                 }
-            } else if (moved && candidate == doubt.live) || before == Some(candidate) {
+            } else if (live_changed && candidate == pending.live) || previous == Some(candidate) {
                 Some(Difference::Stale)
             } else {
                 Some(Difference::Wrong)
@@ -239,19 +240,19 @@
             return difference;
         } else if live == candidate {
             self.tally.equal += 1;
-        } else if self.doubts.len() < MAX_PENDING {
-            self.doubts.insert(place, Doubt { live, candidate, at: now });
+        } else if self.pending.len() < MAX_PENDING {
+            self.pending.insert(key_hash, PendingDifference { live, candidate, since: now });
         } else {
             self.tally.unresolved += 1;
         }
         None
     }
 
-    /// Drops doubts that have stood too long.
+    /// Gives up differences that have been pending too long.
     pub fn expire(&mut self, now: Nanos) {
-        let (before, patience) = (self.doubts.len(), self.patience);
-        self.doubts.retain(|_, d| now.saturating_sub(d.at) < patience);
-        self.tally.unresolved += (before - self.doubts.len()) as u64;
+        let (count_before, max_pending_time) = (self.pending.len(), self.max_pending_time);
+        self.pending.retain(|_, difference| now.saturating_sub(difference.since) < max_pending_time);
+        self.tally.unresolved += (count_before - self.pending.len()) as u64;
     }
 }
 
@@ -262,8 +263,8 @@
 
     const KEY: u64 = 77;
 
-    /// Reads of one key: what live and candidate had, in order.
-    fn played(reads: &[(u64, u64)]) -> Tally {
+    /// The tally after reads of one key with these live and candidate values.
+    fn tally_of(reads: &[(u64, u64)]) -> Tally {
         let mut c = Comparison::new(10 * SECOND);
         for (live, candidate) in reads {
             c.record_live(KEY, *live);
@@ -273,21 +274,25 @@
     }
 
     #[test]
-    fn a_difference_is_told_apart_once_it_was_asked_for_again() {
+    fn a_difference_is_classified_by_the_next_read_of_its_key() {
         let none = Tally::default();
-        assert_eq!(played(&[(1, 1), (1, 2)]), Tally { equal: 1, ..none }, "in doubt, it does not count yet");
-        assert_eq!(played(&[(1, 2), (2, 2)]), Tally { equal: 1, changed: 1, ..none });
-        assert_eq!(played(&[(1, 9), (1, 9)]), Tally { wrong: 1, ..none });
-        assert_eq!(played(&[(1, 8), (1, 9)]), Tally { wrong: 1, ..none });
-        assert_eq!(played(&[(1, 9), (1, 1)]), Tally { equal: 1, transient: 1, ..none });
-        // One version behind: seen as such by the live value before, or as the live side moves on.
-        assert_eq!(played(&[(1, 1), (2, 1), (2, 1)]), Tally { equal: 1, stale: 1, ..none });
-        assert_eq!(played(&[(1, 1), (2, 1), (2, 2)]), Tally { equal: 2, stale: 1, ..none });
-        assert_eq!(played(&[(2, 1), (3, 2)]), Tally { stale: 1, ..none });
+        assert_eq!(
+            tally_of(&[(1, 1), (1, 2)]),
+            Tally { equal: 1, ..none },
+            "a pending difference is not counted"
+        );
+        assert_eq!(tally_of(&[(1, 2), (2, 2)]), Tally { equal: 1, changed: 1, ..none });
+        assert_eq!(tally_of(&[(1, 9), (1, 9)]), Tally { wrong: 1, ..none });
+        assert_eq!(tally_of(&[(1, 8), (1, 9)]), Tally { wrong: 1, ..none });
+        assert_eq!(tally_of(&[(1, 9), (1, 1)]), Tally { equal: 1, transient: 1, ..none });
+        // One version behind: recognised by the previous live value, or when the live value changes.
+        assert_eq!(tally_of(&[(1, 1), (2, 1), (2, 1)]), Tally { equal: 1, stale: 1, ..none });
+        assert_eq!(tally_of(&[(1, 1), (2, 1), (2, 2)]), Tally { equal: 2, stale: 1, ..none });
+        assert_eq!(tally_of(&[(2, 1), (3, 2)]), Tally { stale: 1, ..none });
     }
 
     #[test]
-    fn one_side_alone_and_crossed_ones_have_their_own_counts() {
+    fn one_sided_records_failures_and_raced_copies_are_counted_separately() {
         let mut c = Comparison::new(SECOND);
         let one = ReadOutcome::Value(1);
         c.record_copy(KEY, one, ReadOutcome::Missing, false, 0);
@@ -312,10 +317,10 @@
     }
 
     #[test]
-    fn doubts_are_bounded_and_do_not_stand_for_ever() {
+    fn pending_differences_are_bounded_and_expire() {
         let mut c = Comparison::new(SECOND);
-        for place in 0..MAX_PENDING as u64 + 5 {
-            c.record_copy(place, ReadOutcome::Value(1), ReadOutcome::Value(2), false, 0);
+        for key_hash in 0..MAX_PENDING as u64 + 5 {
+            c.record_copy(key_hash, ReadOutcome::Value(1), ReadOutcome::Value(2), false, 0);
         }
         assert_eq!((c.pending_count(), c.tally.unresolved), (MAX_PENDING, 5));
         c.expire(SECOND - 1);
--- a/crates/shadow/src/lib.rs
+++ b/crates/shadow/src/lib.rs
@@ -1,9 +1,9 @@
-//! Shadow traffic: some reads that the live boxes have answered are asked again of candidates, boxes that are not in
-//! service yet, and the answers compared. A state machine without clock, socket or file.
+//! Shadow traffic: a sample of the reads that live boxes have served is mirrored to candidates, which are boxes that are
+//! not in service yet, and the answers are compared. This crate is a state machine without clock, sockets or files.
 //!
-//! [`Shadow`] is told of each read that was served, and says which is to be copied, to which candidate and by when. It is
-//! an observer: nothing that it says can refuse, delay or change a real answer. Its parts are the choice of keys
-//! ([`sample`]), what copying may use ([`budget`]), how fast it goes and when it stops ([`ramp`]), the comparison
+//! [`Shadow`] is offered each served read and decides whether it is copied, to which candidate and with which deadline. It
+//! only observes: it cannot reject, delay or change the answer to a client. Its parts are the sampling of keys
+//! ([`sample`]), the budgets ([`budget`]), the ramp-up and the automatic stop ([`ramp`]), the comparison of answers
 //! ([`compare`]) and the verdict ([`verdict`]).
 
 pub mod budget;
@@ -22,7 +22,7 @@
 pub use ramp::{LiveLoad, Stop, Trouble};
 pub use verdict::{Report, Verdict};
 
-/// Times and spans, in nanoseconds.
+/// A time or a duration in nanoseconds.
 pub type Nanos = u64;
 
 pub(crate) const MS: Nanos = 1_000_000;
--- a/crates/shadow/src/promote.rs
+++ b/crates/shadow/src/promote.rs
@@ -1,46 +1,51 @@
-//! The way of a candidate into service, as the rule for cold boxes allows it.
+//! The plan by which candidates may enter service under the slow start of the balancer.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// A box that has just come takes so much of what a warm one takes, and all of it after a time; in between it grows evenly.
+/// Slow start: the weight of a new box grows linearly from an initial fraction to that of a warm box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// The part that it takes at first, over 0 and at most 1.
+    /// The initial weight, above 0 and at most 1.
     pub initial_fraction: f64,
-    /// After so long it takes all.
+    /// The time until the full weight.
     pub duration: Nanos,
 }
 
-/// One step of the way.
+/// One step of the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Since the first one, in seconds.
+    /// Seconds since the first step.
     pub at_seconds: f64,
-    /// The weight of each candidate, where a warm box has 1.
+    /// The weight of each candidate; that of a warm box is 1.
     pub weight: f64,
-    /// The share of all keys that each candidate then has.
+    /// The share of all keys that each candidate has in this step.
     #[serde(rename = "each")]
     pub share_each: f64,
-    /// The share that all candidates have.
+    /// The share of all keys that the candidates have together.
     #[serde(rename = "all")]
     pub share_all: f64,
 }
 
-/// So many even steps and the last one, for candidates that join live boxes. No step asks for more than the rule allows
-/// at its beginning.
-pub fn promotion_steps(rule: SlowStart, live: usize, candidates: usize, count: usize) -> Vec<Step> {
-    let count = if rule.duration == 0 { 0 } else { count };
-    let at = |k: usize| if count == 0 { 1.0 } else { k as f64 / count as f64 };
+/// A plan of `count` steps of equal length and a final step, for candidates that join live boxes. No step has a greater
+/// weight than slow start allows at its beginning.
+pub fn promotion_steps(slow_start: SlowStart, live: usize, candidates: usize, count: usize) -> Vec<Step> {
+    let count = if slow_start.duration == 0 { 0 } else { count };
+    let fraction = |k: usize| if count == 0 { 1.0 } else { k as f64 / count as f64 };
     let step = |k: usize| {
-        let weight = if rule.duration == 0 {
+        let weight = if slow_start.duration == 0 {
             1.0
         } else {
-            rule.initial_fraction + (1.0 - rule.initial_fraction) * at(k)
+            slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * fraction(k)
         };
         let all = candidates as f64 * weight / (live as f64 + candidates as f64 * weight);
         let each = if candidates == 0 { 0.0 } else { all / candidates as f64 };
-        Step { at_seconds: at(k) * rule.duration as f64 / 1e9, weight, share_each: each, share_all: all }
+        Step {
+            at_seconds: fraction(k) * slow_start.duration as f64 / 1e9,
+            weight,
+            share_each: each,
+            share_all: all,
+        }
     };
     (0..=count).map(step).collect()
 }
@@ -51,12 +56,12 @@
     use crate::SECOND;
 
     #[test]
-    fn no_step_asks_for_more_than_the_rule_allows_and_the_last_asks_for_all() {
+    fn no_step_exceeds_the_slow_start_weight_and_the_last_one_has_full_weight() {
         for (from, live, candidates, count) in
             [(0.15, 16, 2, 6), (1.0, 1, 1, 3), (0.01, 0, 4, 1), (0.5, 9, 0, 2)]
         {
-            let rule = SlowStart { initial_fraction: from, duration: 24 * SECOND };
-            let steps = promotion_steps(rule, live, candidates, count);
+            let slow_start = SlowStart { initial_fraction: from, duration: 24 * SECOND };
+            let steps = promotion_steps(slow_start, live, candidates, count);
             assert_eq!(steps.len(), count + 1);
             for s in &steps {
                 let allowed = from + (1.0 - from) * s.at_seconds / 24.0;
@@ -65,8 +70,9 @@
             }
             let last = steps.last().expect("one");
             assert_eq!((last.at_seconds, last.weight), (24.0, 1.0));
-            let even = if candidates == 0 { 0.0 } else { candidates as f64 / (live + candidates) as f64 };
-            assert!((last.share_all - even).abs() < 1e-9);
+            let expected_share =
+                if candidates == 0 { 0.0 } else { candidates as f64 / (live + candidates) as f64 };
+            assert!((last.share_all - expected_share).abs() < 1e-9);
             assert!(steps
                 .windows(2)
                 .all(|w| w[0].weight <= w[1].weight && w[0].at_seconds < w[1].at_seconds));
@@ -74,7 +80,7 @@
         assert_eq!(
             promotion_steps(SlowStart { initial_fraction: 0.2, duration: 0 }, 3, 1, 5).len(),
             1,
-            "without a rule they are all warm at once"
+            "without slow start there is one step with full weight"
         );
     }
 }
