--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for all that a proxy talks to, for tests and for a newcomer's first run. Never a part of a program
-//! that serves.
+//! Stand-ins for everything that a proxy communicates with, for tests and for `trestlectl dev`. Not used in production
+//! programs.
 //!
-//! [`scripted`] has peers that a test plays move by move; [`world`] has whole ones that act by themselves, with
-//! faults scripted from a seed, and records of all that they saw; [`process`] starts programs beside them.
+//! [`scripted`] has peers that a test drives step by step; [`world`] has autonomous stand-ins with fault scripts from a
+//! seed and a record of all requests; [`process`] starts proxies to run against them; [`agent`] starts an agent with a
+//! fleet; [`controller`] is a client of a control endpoint.
 
 pub mod agent;
 pub mod controller;
@@ -15,25 +16,26 @@
 use std::process::{Child, Command};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Held while a program is started, and while a free port is looked for.
+/// Locks out other threads while a program is started or a free port is probed.
 ///
-/// Guards against programs that find their port taken: between fork and exec a child has all that its parent has, also
-/// the listener by which another thread just found that port.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Without the lock a program may find its port in use: between fork and exec a child holds all descriptors of its
+/// parent, including the listener with which another thread probes that port.
+fn lock_process_spawn() -> MutexGuard<'static, ()> {
+    static SPAWN_LOCK: Mutex<()> = Mutex::new(());
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a program.
+/// Starts a program while no other thread probes a port.
 fn spawn(command: &mut Command) -> io::Result<Child> {
-    let _alone = alone();
+    let _guard = lock_process_spawn();
     command.spawn()
 }
 
-/// Where a program of this workspace lies: beside the one that runs, or one folder above it for a test.
+/// Returns the path of a program of this workspace: in the directory of the running program, or one level above it for a
+/// test.
 ///
 /// # Panics
-/// If it has not been built.
+/// If the program has not been built.
 pub fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program has a path");
     let found = own.ancestors().skip(1).take(2).map(|folder| folder.join(name)).find(|p| p.is_file());
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! Programs that run beside a world's stand-ins.
+//! Starts and controls proxy processes that run against a world's stand-ins.
 
 use serde_json::Value;
 use std::io;
@@ -8,15 +8,15 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A folder that goes when it is dropped.
+/// A directory that is removed on drop.
 #[derive(Debug)]
 pub struct Folder(pub PathBuf);
 
 impl Folder {
-    /// A new one among the temporary files, for its owner alone.
+    /// Creates a unique temporary directory with mode 0700.
     ///
     /// # Errors
-    /// It can't be made.
+    /// The directory cannot be created.
     pub fn new(name: &str) -> io::Result<Folder> {
         use std::os::unix::fs::DirBuilderExt;
         let path = crate::scripted::scratch(name);
@@ -31,21 +31,21 @@
     }
 }
 
-/// A free port of this machine's loopback; another process may take it before it is used.
+/// Returns a free loopback port; another process may bind it before the caller does.
 ///
 /// # Errors
-/// There is none.
+/// No port can be bound.
 pub fn free_port() -> io::Result<SocketAddr> {
-    let _alone = crate::alone();
+    let _guard = crate::lock_process_spawn();
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
 
-/// A running proxy. It is killed when it is dropped.
+/// A running proxy, killed on drop.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     /// The process.
     pub child: Child,
@@ -55,10 +55,10 @@
 }
 
 impl Instance {
-    /// Starts a proxy on a configuration, with its files in `folder`; its log goes to a file there.
+    /// Starts a proxy with a configuration; its files and its log are written to `folder`.
     ///
     /// # Errors
-    /// The files can't be written, or the program not be run.
+    /// A file cannot be written, or the program cannot be started.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -83,10 +83,10 @@
         Ok(Instance { name, address, child, program: program.to_owned(), config: path, operator })
     }
 
-    /// Waits until it answers `PING`.
+    /// Waits until the proxy answers `PING`.
     ///
     /// # Errors
-    /// It does not within `patience`, or it has ended.
+    /// It does not answer within `patience`, or the process has exited.
     pub fn ready(&mut self, patience: Duration) -> io::Result<()> {
         let begun = Instant::now();
         loop {
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Kills it and starts it again on the same files.
+    /// Kills the proxy and starts it again with the same files.
     ///
     /// # Errors
-    /// The program can't be run.
+    /// The program cannot be started.
     pub fn kill_and_start(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -115,10 +115,10 @@
         Ok(())
     }
 
-    /// Sends it a signal, as `kill` names it.
+    /// Sends the process a signal, as an option of `kill` (`-TERM`).
     ///
     /// # Errors
-    /// It can't be sent.
+    /// `kill` cannot be run.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         Command::new("kill").args([name, &self.child.id().to_string()]).status().map(|_| ())
     }
@@ -134,22 +134,22 @@
     crate::spawn(command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log))
 }
 
-/// Time that a process had of all cores, in hundredths of a second: `utime` and `stime` of proc_pid_stat(5).
+/// CPU time of a process over all cores, in hundredths of a second: `utime` plus `stime` of proc_pid_stat(5).
 ///
 /// # Panics
-/// There is no such process.
+/// The process does not exist.
 pub fn cpu(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     fields[11].parse::<f64>().unwrap_or(0.0) + fields[12].parse::<f64>().unwrap_or(0.0)
 }
 
-/// Does a proxy answer `PING` there? One with users answers that it wants a password first.
+/// Returns true if a proxy answers `PING` at `address`; one that requires authentication answers `-NOAUTH`.
 pub fn answers(address: SocketAddr) -> bool {
-    let patience = Duration::from_millis(500);
-    let Ok(mut stream) = TcpStream::connect_timeout(&address, patience) else { return false };
+    let timeout = Duration::from_millis(500);
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, timeout) else { return false };
     let mut answer = [0; 7];
-    stream.set_read_timeout(Some(patience)).is_ok()
+    stream.set_read_timeout(Some(timeout)).is_ok()
         && stream.write_all(b"*1\r\n$4\r\nPING\r\n").is_ok()
         && stream.read_exact(&mut answer).is_ok()
         && [*b"+PONG\r\n", *b"-NOAUTH"].contains(&answer)
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -1,5 +1,5 @@
-//! The proxy's binary between a scripted client, scripted cache nodes and a scripted discovery, over loopback.
-//! A test plays all of them in turn from one thread; whatever does not come within `PATIENCE` fails it.
+//! Runs the proxy's binary between a scripted client, scripted cache nodes and a scripted discovery, over loopback.
+//! A test drives all of them from one thread and fails if an expected event does not occur within `PATIENCE`.
 
 use crate::program;
 use serde_json::{json, Value};
@@ -11,44 +11,44 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Whatever has not come by then fails its test.
+/// Time limit for each event that a test waits for.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// An address at which nobody listens. No other test and no other process gets it, and none is asked for a port: what
-/// is not bound to be found free can't be held by a program that another thread starts meanwhile.
+/// Returns an address without a listener that is unique across tests and processes. It is computed rather than probed by
+/// binding a port: a probe socket could be inherited by a program that another thread starts at the same time.
 pub fn nobody() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     address_of(std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// The so many-th address of a process: a loopback host of the process's own, at a port below those that the kernel
-/// gives to connections.
+/// Address `number` of a process: a loopback host derived from the process id, at a port below the kernel's ephemeral
+/// range.
 fn address_of(process: u32, number: u32) -> SocketAddr {
     let host = Ipv4Addr::new(127, 16 + (process >> 8) as u8 % 200, process as u8, (number % 254) as u8 + 1);
     let port = 10_000 + u16::try_from(number / 254 % 20_000).expect("below 20,000");
     SocketAddr::new(IpAddr::V4(host), port)
 }
 
-/// One or more listeners, whose connections a test takes one by one.
+/// One or more listeners whose connections a test accepts one by one.
 pub struct Server {
-    /// Where it listens.
+    /// Addresses of the listeners.
     pub addresses: Vec<SocketAddr>,
     accepted: Receiver<(usize, TcpStream)>,
 }
 
 impl Server {
-    /// One listener.
+    /// Starts a server with one listener on an ephemeral port.
     pub fn start() -> Server {
         Server::many(1)
     }
 
-    /// So many listeners.
+    /// Starts a server with `count` listeners on ephemeral ports.
     pub fn many(count: usize) -> Server {
         let listen = |_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a listener");
         Server::of((0..count).map(listen))
     }
 
-    /// This listener.
+    /// Starts a server on an existing listener.
     pub fn at(listener: TcpListener) -> Server {
         Server::of([listener])
     }
@@ -70,13 +70,14 @@
         Server { addresses: listeners.into_iter().enumerate().map(listen).collect(), accepted }
     }
 
-    /// The next connection.
+    /// Waits for the next connection.
     pub fn accept(&self) -> Peer {
         let (at, stream) = self.accepted.recv_timeout(PATIENCE).expect("a connection");
         Peer { at, ..Peer::new(stream) }
     }
 
-    /// The next command on any of these connections or on a new one, which joins them; tells which.
+    /// Waits for the next command on any of `peers` or on a new connection, which is appended to them. Returns the
+    /// index of the connection and the command.
     pub fn any(&self, peers: &mut Vec<Peer>) -> (usize, Vec<String>) {
         let begun = Instant::now();
         while begun.elapsed() < PATIENCE {
@@ -84,10 +85,10 @@
                 return command;
             }
         }
-        panic!("no command came");
+        panic!("no command received within {PATIENCE:?}");
     }
 
-    /// The same, if one comes while each connection is looked at once.
+    /// Like [`Server::any`], but polls each connection only once.
     pub fn soon(&self, peers: &mut Vec<Peer>) -> Option<(usize, Vec<String>)> {
         if let Ok((at, stream)) = self.accepted.try_recv() {
             peers.push(Peer { at, ..Peer::new(stream) });
@@ -96,12 +97,12 @@
         Some((i, peers[i].command()))
     }
 
-    /// True if no connection has come by now.
+    /// Returns true if no connection is waiting to be accepted.
     pub fn is_untouched(&self) -> bool {
         self.accepted.try_recv().is_err()
     }
 
-    /// Takes the next connection and the command on it.
+    /// Waits for the next connection and for the first command on it.
     pub fn command(&self) -> (Peer, Vec<String>) {
         let mut peer = self.accept();
         let command = peer.command();
@@ -109,11 +110,11 @@
     }
 }
 
-/// One end of a connection, with its input.
+/// One end of a connection, with its input buffer.
 pub struct Peer {
-    /// The connection.
+    /// The socket.
     pub stream: TcpStream,
-    /// Which of a server's listeners accepted it.
+    /// Index of the server's listener that accepted the connection.
     pub at: usize,
     input: Vec<u8>,
 }
@@ -126,44 +127,45 @@
         Peer { stream, at: 0, input: Vec::new() }
     }
 
-    /// Connects.
+    /// Connects; panics if the connection is refused or reset.
     pub fn connect(address: SocketAddr) -> Peer {
         Peer::reaches(address).expect("connected")
     }
 
-    /// Connects, if the other end lets it: one that is down may reset a connection that is just coming up.
+    /// Connects; returns `None` if the connection is refused or reset, as a server that is down may do while it is being
+    /// established.
     pub fn reaches(address: SocketAddr) -> Option<Peer> {
         match TcpStream::connect(address) {
             Ok(stream) => Some(Peer::new(stream)),
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionReset | ErrorKind::ConnectionRefused) => None,
-            Err(e) => panic!("not connected: {e}"),
+            Err(e) => panic!("cannot connect to {address}: {e}"),
         }
     }
 
-    /// Writes all of it.
+    /// Writes all bytes; panics if the other end has closed.
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
-        assert!(self.offers(bytes), "closed before it was written");
+        assert!(self.offers(bytes), "connection closed before all bytes were written");
     }
 
-    /// Writes all of it; false if the other end has closed by then, which it may have at any moment.
+    /// Writes all bytes; returns false if the other end has closed, which it may do at any moment.
     pub fn offers(&mut self, bytes: impl AsRef<[u8]>) -> bool {
         match self.stream.write_all(bytes.as_ref()) {
             Ok(()) => true,
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => false,
-            Err(e) => panic!("not written: {e}"),
+            Err(e) => panic!("cannot write to the connection: {e}"),
         }
     }
 
-    /// Looks for input for a millisecond.
+    /// Returns true if input is buffered or arrives within 1 ms.
     pub fn has_input(&mut self) -> bool {
         self.stream.set_read_timeout(Some(Duration::from_millis(1))).expect("a time-out");
-        let come = self.stream.peek(&mut [0]).is_ok_and(|n| n > 0);
+        let arrived = self.stream.peek(&mut [0]).is_ok_and(|n| n > 0);
         self.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        come || !self.input.is_empty()
+        arrived || !self.input.is_empty()
     }
 
-    /// Reads more input; false at the end of the connection.
-    fn more(&mut self) -> bool {
+    /// Reads more input into the buffer; returns false at the end of the connection.
+    fn read_more(&mut self) -> bool {
         let mut buffer = [0; 64 << 10];
         match self.stream.read(&mut buffer) {
             Ok(0) => false,
@@ -172,30 +174,30 @@
                 true
             }
             Err(e) if e.kind() == ErrorKind::ConnectionReset => false,
-            Err(e) => panic!("nothing came: {e}"),
+            Err(e) => panic!("cannot read from the connection: {e}"),
         }
     }
 
-    /// The next so many bytes.
+    /// Waits for the next `length` bytes.
     pub fn take(&mut self, length: usize) -> Vec<u8> {
         while self.input.len() < length {
-            assert!(self.more(), "closed after {:?}", String::from_utf8_lossy(&self.input));
+            assert!(self.read_more(), "connection closed after {:?}", String::from_utf8_lossy(&self.input));
         }
         self.input.drain(..length).collect()
     }
 
-    /// The next line, without its end.
+    /// Waits for the next line; returns it without CRLF.
     pub fn line(&mut self) -> String {
         loop {
             if let Some(at) = self.input.windows(2).position(|w| w == b"\r\n") {
                 let line = self.take(at + 2);
                 return String::from_utf8_lossy(&line[..at]).into_owned();
             }
-            assert!(self.more(), "closed after {:?}", String::from_utf8_lossy(&self.input));
+            assert!(self.read_more(), "connection closed after {:?}", String::from_utf8_lossy(&self.input));
         }
     }
 
-    fn bulk(&mut self) -> String {
+    fn read_bulk_string(&mut self) -> String {
         let head = self.line();
         let Some(length) = head.strip_prefix('$').and_then(|n| n.parse::<i64>().ok()) else { return head };
         let Ok(length) = usize::try_from(length) else { return head };
@@ -203,28 +205,28 @@
         String::from_utf8_lossy(&body[..length]).into_owned()
     }
 
-    /// The next command or array.
+    /// Waits for the next command or array; a line of another type is returned as its only element.
     pub fn command(&mut self) -> Vec<String> {
         let head = self.line();
         let Some(count) = head.strip_prefix('*') else { return vec![head] };
-        (0..count.parse().expect("a count")).map(|_| self.bulk()).collect()
+        (0..count.parse().expect("a count")).map(|_| self.read_bulk_string()).collect()
     }
 
-    /// What comes next, in one piece; nothing at the end of the connection.
+    /// Reads once and returns all buffered bytes; empty at the end of the connection.
     pub fn take_some(&mut self) -> Vec<u8> {
-        self.more();
+        self.read_more();
         std::mem::take(&mut self.input)
     }
 
-    /// All bytes up to the end of the connection.
+    /// Returns all bytes up to the end of the connection.
     pub fn rest(&mut self) -> Vec<u8> {
-        while self.more() {}
+        while self.read_more() {}
         std::mem::take(&mut self.input)
     }
 
-    /// Waits for what comes next: false if that is the end of the connection. Input is dropped.
+    /// Waits for input and discards it; returns false at the end of the connection.
     pub fn stream_is_open(&mut self) -> bool {
-        let open = self.more();
+        let open = self.read_more();
         self.input.clear();
         open
     }
@@ -235,24 +237,24 @@
         socket.set_linger(Some(Duration::ZERO)).expect("linger");
     }
 
-    /// Asks for a key.
+    /// Sends a `CACHE.GET` of a key with a deadline of `wait_ms`.
     pub fn get(&mut self, key: u64, class: &str, wait_ms: u64) {
         let fields = format!("c={class},d={wait_ms}");
-        self.send(encode(&["CACHE.GET", &format!("{key:016x}"), &new_id(), &fields]));
+        self.send(encode(&["CACHE.GET", &format!("{key:016x}"), &next_request_id(), &fields]));
     }
 
-    /// Writes a key.
+    /// Sends a `CACHE.SET` of a key with a deadline of `wait_ms` and a fixed idempotency key.
     pub fn set(&mut self, key: u64, class: &str, wait_ms: u64, value: &str) {
         let fields = format!("c={class},d={wait_ms},k=5c0f");
-        self.send(encode(&["CACHE.SET", &format!("{key:016x}"), &new_id(), &fields, value]));
+        self.send(encode(&["CACHE.SET", &format!("{key:016x}"), &next_request_id(), &fields, value]));
     }
 
-    /// Answers the list of discovery that was asked for on this connection.
+    /// Answers a discovery request on this connection with a list.
     pub fn list(&mut self, list: &Value) {
         self.send(http(&list.to_string()));
     }
 
-    /// The target of the next HTTP request.
+    /// Waits for the next HTTP request; returns its target.
     pub fn request(&mut self) -> String {
         let first = self.line();
         while !self.line().is_empty() {}
@@ -260,7 +262,7 @@
     }
 }
 
-/// An address whose backlog is full: connections to it stay on their way for as long as the sockets are kept.
+/// Returns an address whose accept backlog is full: connections to it stay pending while the returned sockets are held.
 pub fn full_backlog() -> (SocketAddr, Vec<socket2::Socket>) {
     let socket =
         || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -270,62 +272,62 @@
     let at = full.local_addr().expect("an address").as_socket().expect("ip");
     let mut held = vec![full];
     for _ in 0..4 {
-        let dialled = socket();
-        dialled.set_nonblocking(true).expect("set");
-        let _ = dialled.connect(&at.into());
-        held.push(dialled);
+        let pending = socket();
+        pending.set_nonblocking(true).expect("non-blocking mode");
+        let _ = pending.connect(&at.into());
+        held.push(pending);
     }
     (at, held)
 }
 
-/// A request id that no other request has.
-fn new_id() -> String {
+/// Returns a unique request id.
+fn next_request_id() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// A command as clients write it.
+/// Encodes a command as a RESP array of bulk strings.
 pub fn encode(args: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", args.len());
     args.iter().for_each(|a| out.push_str(&format!("${}\r\n{a}\r\n", a.len())));
     out.into_bytes()
 }
 
-/// An HTTP answer with this body.
+/// An HTTP response with status 200 and this body.
 pub fn http(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A cache node's answer to a write.
+/// A cache node's reply to a write.
 pub const RECEIPT: &str = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
-/// A cache node's answer to a read that hit.
+/// A cache node's reply to a read that hit.
 pub fn hit(value: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes()
 }
 
-/// A host of a list, in discovery's form.
+/// A host entry in the format of discovery.
 pub fn host(name: &str, address: SocketAddr, health: &str) -> Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m1", "block": 0, "health": health,
         "share": 1.0, "born_ms": 0})
 }
 
-/// A list in discovery's form.
+/// A host list in the format of discovery; `whole` is false for a list of changes.
 pub fn list(version: u64, whole: bool, hosts: &[Value]) -> Value {
     json!({"seq": version, "whole": whole, "hosts": hosts})
 }
 
-/// A proxy that knows these cache nodes; `edit` changes its configuration. Classes: `read` is safe, `put`
-/// keyed at all nodes, `once` unsafe.
+/// A running proxy with a fixed list of cache nodes. Its request classes: `read` is safe, `put` keyed at all nodes,
+/// `once` unsafe. The process is killed on drop.
 pub struct Proxy {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     /// The process.
     pub child: Child,
     path: PathBuf,
 }
 
-/// A configuration that names these cache nodes, for a listener at an address of its own.
+/// Returns a configuration with these cache nodes and a unique listen address.
 pub fn config(nodes: &[SocketAddr]) -> Value {
     let hosts: Vec<Value> = (0..).zip(nodes).map(|(i, a)| host(&format!("s-{i}"), *a, "up")).collect();
     let class = |name: &str, effect: &str| {
@@ -350,19 +352,19 @@
     })
 }
 
-/// Runs the binary on a configuration.
+/// Starts the proxy's binary with a configuration.
 pub fn launch(config: &str) -> Child {
-    launch_by(Command::new(program("trestlesill")), config).0
+    launch_command(Command::new(program("trestlesill")), config).0
 }
 
-/// A path of this process's own in the folder for temporary files.
+/// Returns a unique path in the temporary directory.
 pub fn scratch(name: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("trestle-{}-{number}-{name}", std::process::id()))
 }
 
-fn launch_by(mut program: Command, config: &str) -> (Child, PathBuf) {
+fn launch_command(mut program: Command, config: &str) -> (Child, PathBuf) {
     let path = scratch("config.json");
     std::fs::write(&path, config).expect("the configuration is written");
     program.env("NODE_CONFIG", &path).env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY");
@@ -371,19 +373,19 @@
 }
 
 impl Proxy {
-    /// A proxy that knows these.
+    /// Starts a proxy with these cache nodes.
     pub fn start(nodes: &Server) -> Proxy {
         Proxy::with(nodes, |_| {})
     }
 
-    /// The same, its configuration changed.
+    /// Starts a proxy with these cache nodes and a configuration changed by `edit`.
     pub fn with(nodes: &Server, edit: impl FnOnce(&mut Value)) -> Proxy {
         let mut config = config(&nodes.addresses);
         edit(&mut config);
         Proxy::by(Command::new(program("trestlesill")), config)
     }
 
-    /// A proxy that can have no more than so many descriptors, whatever its configuration says.
+    /// Starts a proxy whose file descriptors are limited by `ulimit`, independent of its configuration.
     pub fn starved(nodes: &Server, descriptors: u32) -> Proxy {
         let mut shell = Command::new("/bin/sh");
         let program = format!("ulimit -n {descriptors}; exec {}", program("trestlesill").display());
@@ -391,7 +393,7 @@
         Proxy::by(shell, config(&nodes.addresses))
     }
 
-    /// A proxy with an operator's file of this text; it knows these nodes.
+    /// Starts a proxy with these cache nodes, an operator's file and a configuration changed by `edit`.
     pub fn operated(nodes: &Server, operator: &str, edit: impl FnOnce(&mut Value)) -> Proxy {
         let mut config = config(&nodes.addresses);
         edit(&mut config);
@@ -402,7 +404,7 @@
         Proxy::by(command, config)
     }
 
-    /// Kills it, and starts it again as it was started.
+    /// Kills the proxy and starts it again with the same arguments and configuration.
     pub fn kill_and_start(&mut self) {
         let args: Vec<_> =
             std::fs::read(format!("/proc/{}/cmdline", self.child.id())).expect("a command line");
@@ -415,27 +417,27 @@
         self.child = crate::spawn(command.stderr(Stdio::piped())).expect("the proxy starts");
     }
 
-    /// The text of its configuration file.
+    /// Returns the text of the configuration file.
     pub fn text(&self) -> String {
         std::fs::read_to_string(&self.path).expect("a configuration")
     }
 
-    /// A proxy that this command runs, on this configuration.
+    /// Starts a proxy through this command with this configuration and waits until it answers.
     pub fn by(program: Command, config: Value) -> Proxy {
         let address = config["listen"].as_str().and_then(|a| a.parse().ok()).expect("an address");
-        let (child, path) = launch_by(program, &config.to_string());
+        let (child, path) = launch_command(program, &config.to_string());
         let mut proxy = Proxy { address, child, path };
         let begun = Instant::now();
         while !crate::process::answers(address) {
             let ended = proxy.child.try_wait().expect("a child");
-            assert!(ended.is_none(), "the proxy ended: {}", proxy.log());
-            assert!(begun.elapsed() < PATIENCE, "the proxy does not listen");
+            assert!(ended.is_none(), "the proxy exited before it listened: {}", proxy.log());
+            assert!(begun.elapsed() < PATIENCE, "the proxy does not listen at {address} within {PATIENCE:?}");
             std::thread::sleep(Duration::from_millis(2));
         }
         proxy
     }
 
-    /// Kills it; what it wrote to its log.
+    /// Kills the proxy and returns its log.
     pub fn log(mut self) -> String {
         let _ = self.child.kill();
         let mut text = String::new();
@@ -445,18 +447,18 @@
         text
     }
 
-    /// A new client of it.
+    /// Connects a new client.
     pub fn client(&self) -> Peer {
         Peer::connect(self.address)
     }
 
-    /// Sends it a signal, as `kill` names it (`-TERM`).
+    /// Sends the process a signal, as an option of `kill` (`-TERM`).
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    /// Replaces the configuration and has the proxy read it again.
+    /// Replaces the configuration file atomically and triggers a reload by SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.path.with_extension("new");
         std::fs::write(&new, config).expect("the configuration is written");
@@ -464,26 +466,26 @@
         self.signal("-HUP");
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
         let begun = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("waited") {
                 return status;
             }
-            assert!(begun.elapsed() < PATIENCE, "the proxy does not end");
+            assert!(begun.elapsed() < PATIENCE, "the proxy does not exit within {PATIENCE:?}");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// A field of the process's status, in kB where it is a size.
+    /// Reads a field of `/proc/PID/status`; sizes are in kB.
     pub fn status(&self, field: &str) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
         let line = text.lines().find_map(|l| l.strip_prefix(field)).expect("the field");
         line.trim_start_matches(':').split_whitespace().next().and_then(|n| n.parse().ok()).expect("a number")
     }
 
-    /// The proxy lives and serves: for the end of tests that mistreat it.
+    /// Asserts that the proxy still answers `PING`.
     pub fn is_well(&self) {
         let mut client = self.client();
         client.send(encode(&["PING"]));
@@ -498,13 +500,14 @@
     }
 }
 
-/// Has a configuration's proxy subscribe to this discovery.
+/// Changes a configuration so that the proxy subscribes to this discovery.
 pub fn subscribed(config: &mut Value, discovery: &Server) {
     config["discovery"] = json!(discovery.addresses[0].to_string());
     config["settings"]["discovery"] = json!("subscribe");
 }
 
-/// Answers each command on a connection, in one write for all that came together; nothing resets the connection.
+/// Answers each command on a connection, with one write for all commands of one read. Returns, and so closes the
+/// connection, when `answer` returns `None`.
 pub fn answer_all(
     mut stream: impl std::io::Read + std::io::Write,
     mut answer: impl FnMut(&resp::Command) -> Option<Vec<u8>>,
@@ -525,7 +528,7 @@
     }
 }
 
-/// A server with a thread for each connection, which answers so; where the answer is nothing it resets.
+/// Starts a server with a thread per connection; a connection is reset when `answer` returns `None`.
 pub fn answering(answer: impl Fn(&resp::Command) -> Option<Vec<u8>> + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -548,7 +551,7 @@
     address
 }
 
-/// The answer of a stand-in box that has the key.
+/// A cache node's reply to a read of a key that it holds.
 pub fn cached(command: &resp::Command) -> Vec<u8> {
     hit(&format!("{}:1", String::from_utf8_lossy(command.arg(1))))
 }
@@ -559,7 +562,7 @@
     use std::collections::HashSet;
 
     #[test]
-    fn no_address_is_given_twice_and_none_lies_where_the_kernel_puts_connections() {
+    fn addresses_are_unique_and_outside_the_ephemeral_port_range() {
         let given: HashSet<SocketAddr> = (0..100_000).map(|n| address_of(4_235, n)).collect();
         assert_eq!(given.len(), 100_000);
         assert!(given.iter().all(|a| a.ip().is_loopback() && (1_024..32_768).contains(&a.port())));
