--- a/crates/testkit/src/agent.rs
+++ b/crates/testkit/src/agent.rs
@@ -1,4 +1,4 @@
-//! An agent with a fleet in a world, and a plain client of its API.
+//! Runs an agent whose fleet serves a world, with a simple client of its API.
 
 use crate::process::Folder;
 use crate::scripted::{nobody, PATIENCE};
@@ -13,24 +13,24 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// An agent's process. All that it runs is killed when it is dropped.
+/// An agent's process. The agent and its instances are killed on drop.
 #[derive(Debug)]
 pub struct Agent {
-    /// Its folder.
+    /// Directory of the agent's files.
     pub folder: Folder,
-    /// The process, while there is one.
+    /// The process, while it runs.
     pub child: Option<Child>,
-    /// Where the proxies of its fleet listen.
+    /// Listen addresses of the fleet's proxies by instance name.
     pub addresses: BTreeMap<String, SocketAddr>,
 }
 
-/// An answer of the API: its status, and its body.
+/// A response of the API: HTTP status and JSON body.
 pub type Answer = (u16, Value);
 
-/// Asks over HTTP/1.1 on a stream.
+/// Sends an HTTP/1.1 request on a stream and reads the response.
 ///
 /// # Errors
-/// No whole answer comes.
+/// The stream fails, or the response is incomplete or not JSON.
 pub fn http(
     mut stream: impl Read + Write,
     method: &str,
@@ -46,17 +46,17 @@
     stream.write_all((head + body).as_bytes())?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
-    let short = || std::io::Error::other(format!("no whole answer: {text:?}"));
-    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(short)?;
-    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(short)?;
+    let incomplete = || std::io::Error::other(format!("incomplete HTTP response: {text:?}"));
+    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(incomplete)?;
+    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(incomplete)?;
     Ok((status, serde_json::from_str(body).map_err(std::io::Error::other)?))
 }
 
 impl Agent {
-    /// Starts an agent on a new folder.
+    /// Starts an agent with a new directory.
     ///
     /// # Panics
-    /// If it does not get ready.
+    /// If the agent cannot be started.
     pub fn start() -> Agent {
         let folder = Folder::new("a").expect("a folder");
         let mut agent = Agent { folder, child: None, addresses: BTreeMap::new() };
@@ -64,10 +64,10 @@
         agent
     }
 
-    /// Runs the agent on its folder, again or for the first time.
+    /// Starts the agent with its existing directory; returns the lines that it printed before `ready`.
     ///
     /// # Panics
-    /// If it does not get ready.
+    /// If the agent cannot be started.
     pub fn run(&mut self, args: &[&str], variables: &[(&str, String)]) -> Vec<String> {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.0.join("agent.log"));
         let mut command = Command::new(crate::program("trestle-agent"));
@@ -81,54 +81,54 @@
             .stderr(log.expect("a log"));
         let mut child = crate::spawn(&mut command).expect("the agent starts");
         let out = BufReader::new(child.stdout.take().expect("piped"));
-        let mut said = Vec::new();
+        let mut printed = Vec::new();
         for line in out.lines() {
             let line = line.expect("a line");
             if line == "ready" {
                 break;
             }
-            said.push(line);
+            printed.push(line);
         }
         self.child = Some(child);
-        said
+        printed
     }
 
-    /// Kills it; its instances run on.
+    /// Kills the agent; its instances keep running.
     ///
     /// # Panics
-    /// If there is none.
+    /// If the agent does not run.
     pub fn kill(&mut self) {
         let mut child = self.child.take().expect("it runs");
         child.kill().expect("killed");
         child.wait().expect("waited");
     }
 
-    /// The API's socket.
+    /// Path of the API's socket.
     pub fn socket(&self) -> PathBuf {
         self.folder.0.join("api.sock")
     }
 
-    /// Asks the API.
+    /// Sends a request to the API.
     ///
     /// # Errors
-    /// It does not answer.
+    /// The API does not answer.
     pub fn try_ask(&self, method: &str, path: &str, body: &str) -> std::io::Result<Answer> {
         let stream = UnixStream::connect(self.socket())?;
         stream.set_read_timeout(Some(PATIENCE))?;
         http(stream, method, path, None, body)
     }
 
-    /// Reads from the API.
+    /// Sends a GET request to the API; returns the body.
     ///
     /// # Panics
-    /// If it does not answer.
+    /// If the API does not answer with status 200.
     pub fn get(&self, path: &str) -> Value {
         let (status, value) = self.try_ask("GET", path, "").expect("an answer");
         assert_eq!(status, 200, "{value}");
         value
     }
 
-    /// Gives a command, based on what is in force now.
+    /// Submits a command based on the current generation; returns its id and the response.
     ///
     /// # Panics
     /// If the API does not answer.
@@ -140,37 +140,37 @@
         (id, self.try_ask("POST", "/v1/operations", &body.to_string()).expect("an answer"))
     }
 
-    /// Gives a command that is taken; its id.
+    /// Submits a command that must be accepted; returns its id.
     ///
     /// # Panics
-    /// If it is not.
+    /// If the command is rejected.
     pub fn order(&self, command: &Value) -> String {
         let (id, (status, value)) = self.command(command, false);
         assert_eq!(status, 200, "{value}");
         id
     }
 
-    /// How an operation stands.
+    /// Returns the outcome of an operation.
     ///
     /// # Panics
-    /// If it is not known.
+    /// If the operation is unknown.
     pub fn outcome(&self, id: &str) -> String {
-        let told = self.get(&format!("/v1/operations/{id}"));
-        told["state"]["outcome"].as_str().expect("an outcome").to_owned()
+        let operation = self.get(&format!("/v1/operations/{id}"));
+        operation["state"]["outcome"].as_str().expect("an outcome").to_owned()
     }
 
-    /// Waits until an operation is over.
+    /// Waits until an operation has the outcome `wanted`.
     ///
     /// # Panics
-    /// If it does not end as wanted.
+    /// If it does not have that outcome within `patience`.
     pub fn until(&self, id: &str, wanted: &str, patience: Duration) {
         self.wait(&format!("{id} is {wanted}"), patience, |a| a.outcome(id) == wanted);
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds; `what` describes it in the panic message.
     ///
     /// # Panics
-    /// If it does not in time.
+    /// If the condition does not hold within `patience`.
     pub fn wait(&self, what: &str, patience: Duration, holds: impl Fn(&Agent) -> bool) {
         let begun = Instant::now();
         while !holds(self) {
@@ -179,15 +179,16 @@
         }
     }
 
-    /// What it said.
+    /// Returns the agent's log.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.0.join("agent.log")).unwrap_or_default()
     }
 
-    /// A fleet's file for so many proxies of a world, each where it was before, or at a free port.
+    /// Returns the desired state of a fleet of `proxies` proxies of a world. An instance keeps its address across calls;
+    /// a new one gets a unique address.
     ///
     /// # Panics
-    /// If the machine has no ports left.
+    /// If the world has no zones.
     pub fn desired(&mut self, world: &World, proxies: usize, edit: impl Fn(&mut Value)) -> Value {
         let instances: BTreeMap<String, Value> = (0..proxies)
             .map(|i| {
@@ -202,20 +203,21 @@
         json!({"instances": instances})
     }
 
-    /// Its instances as a front knows them.
+    /// Returns the instances as targets of a client load.
     pub fn front(&self) -> Vec<Target> {
         let number = |name: &str| name[1..].parse().unwrap_or(0);
         self.addresses.iter().map(|(n, a)| Target { proxy: number(n), address: *a }).collect()
     }
 
-    /// The processes of its instances, by the mark that they bear.
+    /// Finds the processes of the agent's instances by the environment variable that the agent sets; returns names and
+    /// process ids.
     pub fn processes(&self) -> Vec<(String, u32)> {
-        let mark = format!("TRESTLE_AGENT={}", self.folder.0.display());
+        let variable = format!("TRESTLE_AGENT={}", self.folder.0.display());
         let mut found = Vec::new();
         for entry in std::fs::read_dir("/proc").into_iter().flatten().flatten() {
             let text = std::fs::read(entry.path().join("environ")).unwrap_or_default();
             let text = String::from_utf8_lossy(&text);
-            if text.split('\0').any(|v| v == mark) {
+            if text.split('\0').any(|v| v == variable) {
                 let name = text.split('\0').find_map(|v| v.strip_prefix("TRESTLE_INSTANCE="));
                 let pid = entry.file_name().to_str().and_then(|n| n.parse().ok());
                 found.extend(name.map(str::to_owned).zip(pid));
@@ -225,13 +227,14 @@
         found
     }
 
-    /// Sends an instance a signal, as `kill` names it.
+    /// Sends an instance a signal, as an option of `kill` (`-TERM`).
     ///
     /// # Panics
-    /// If it does not run.
+    /// If the instance does not run.
     pub fn signal(&self, name: &str, signal: &str) {
         let all = self.processes();
-        let (_, pid) = all.iter().find(|(n, _)| n == name).unwrap_or_else(|| panic!("{name} runs"));
+        let (_, pid) =
+            all.iter().find(|(n, _)| n == name).unwrap_or_else(|| panic!("instance {name} is not running"));
         Command::new("kill").args([signal, &pid.to_string()]).status().expect("kill runs");
     }
 }
--- a/crates/testkit/src/controller.rs
+++ b/crates/testkit/src/controller.rs
@@ -1,4 +1,4 @@
-//! A controller of a proxy, or of an agent, that says just what a test wants.
+//! A scripted client of the control endpoint of a proxy or an agent.
 
 use crate::scripted::PATIENCE;
 use serde_json::{json, Value};
@@ -10,17 +10,17 @@
 /// A connection to a control endpoint.
 #[derive(Debug)]
 pub struct Controller {
-    /// The connection.
+    /// The socket.
     pub stream: UnixStream,
     input: BufReader<UnixStream>,
     next: u32,
 }
 
 impl Controller {
-    /// Connects, as soon as somebody listens there.
+    /// Connects to a control endpoint, retrying until it listens.
     ///
     /// # Panics
-    /// If nobody does in time.
+    /// If it does not listen within `PATIENCE`.
     pub fn connect(path: &Path) -> Controller {
         let begun = Instant::now();
         let stream = loop {
@@ -36,62 +36,62 @@
         Controller { stream, input, next: 1 }
     }
 
-    /// Writes bytes as they are; false if the other side has closed.
+    /// Writes bytes unchanged; returns false if the other end has closed.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// The next line, or nothing at the end of the connection.
+    /// Waits for the next line; returns `None` at the end of the connection.
     ///
     /// # Panics
-    /// If it does not come in time, or is not JSON.
+    /// If no line arrives within `PATIENCE`, or the line is not JSON.
     pub fn line(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.input.read_line(&mut line) {
             Ok(0) => None,
             Ok(_) => Some(serde_json::from_str(&line).expect("JSON")),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => None,
-            Err(e) => panic!("nothing came: {e}"),
+            Err(e) => panic!("cannot read from the control endpoint: {e}"),
         }
     }
 
-    /// Asks, and takes the whole answer: `fields` has the operation and its fields.
+    /// Sends a request and returns the reply; `fields` has the operation and its parameters.
     ///
     /// # Panics
-    /// If none comes in time.
+    /// If no reply to this request arrives within `PATIENCE`.
     pub fn request(&mut self, mut fields: Value) -> Value {
         let id = format!("t{}", self.next);
         self.next += 1;
         (fields["v"], fields["id"]) = (json!(1), json!(id));
-        assert!(self.send(format!("{fields}\n").as_bytes()), "closed");
+        assert!(self.send(format!("{fields}\n").as_bytes()), "control connection closed");
         let reply = self.line().expect("an answer");
         assert_eq!(reply["id"], json!(id), "{reply}");
         reply
     }
 
-    /// Asks for what must be done.
+    /// Sends a request that must succeed; returns its result.
     ///
     /// # Panics
-    /// If it is not.
+    /// If the reply is an error.
     pub fn ok(&mut self, fields: Value) -> Value {
         let reply = self.request(fields);
         assert!(reply["ok"].is_object(), "{reply}");
         reply["ok"].clone()
     }
 
-    /// Asks for what must not be done; the error's code.
+    /// Sends a request that must be refused; returns the error's code.
     ///
     /// # Panics
-    /// If it is done.
+    /// If the reply is not an error.
     pub fn refused(&mut self, fields: Value) -> String {
         let reply = self.request(fields);
         reply["error"]["code"].as_str().unwrap_or_else(|| panic!("{reply}")).to_owned()
     }
 
-    /// Asks for the status until it is as wanted.
+    /// Polls the status until it satisfies `wanted`; returns that status.
     ///
     /// # Panics
-    /// If it is not in time.
+    /// If no status satisfies it within `PATIENCE`.
     pub fn until(&mut self, wanted: impl Fn(&Value) -> bool) -> Value {
         let begun = Instant::now();
         loop {
--- a/crates/testkit/src/world/boxes.rs
+++ b/crates/testkit/src/world/boxes.rs
@@ -1,10 +1,10 @@
-//! Cache boxes, as the protocol page describes them: read-through, a queue before few cores, a cap on
-//! connections, a cold ramp, answers in the order of the commands.
+//! Cache boxes as the protocol documentation describes them: read-through caching, a bounded queue in front of a few
+//! cores, a connection limit, slow start after a restart, and replies in the order of the commands.
 
 use super::doors::{Door, Entrance, Manner, Stream};
 use super::network::Network;
 use super::origin::{Cache, Origin};
-use super::speech::{dressed, hello, Speech};
+use super::speech::{hello_reply, to_resp3, Speech};
 use super::{listeners, lock, Clock};
 use resp::{Command, CommandParser, MemoryBudget, MAX_BUFFERED_VALUE_BYTES};
 use std::cell::Cell;
@@ -18,41 +18,42 @@
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::task::{spawn_local, JoinSet};
 
-/// What a box is.
+/// Configuration of a box.
 #[derive(Clone, Debug)]
 pub struct BoxConfig {
-    /// Its name in discovery.
+    /// Name in discovery.
     pub name: String,
-    /// Its zone, by number.
+    /// Zone number.
     pub zone: usize,
-    /// Requests that it works on at once.
+    /// Number of requests processed concurrently.
     pub cores: usize,
-    /// Its speed: the work of a request is divided by it.
+    /// Relative speed; the processing time of a request is divided by it.
     pub speed: f64,
-    /// The work of a read, and of a write.
+    /// Processing time of a read and of a write at speed 1.
     pub work: [Duration; 2],
-    /// Requests that wait at once before more are turned away.
+    /// Maximum number of waiting or active requests; further ones are rejected.
     pub queue: usize,
-    /// Connections that it takes.
+    /// Maximum number of connections; commands on further ones are rejected.
     pub connections: usize,
-    /// The work that a new connection costs.
+    /// Processing time of a new connection at speed 1.
     pub handshake: Duration,
-    /// It starts cold: with this part of its speed, and warm after so long.
+    /// Slow start: the initial fraction of the speed, and the time until full speed. `None` for a box that starts warm.
     pub cold: Option<(f64, Duration)>,
-    /// A cold one that is sent more than this multiple of what it can do, for so long, falls for good.
+    /// A box in slow start fails, until its process is restarted, when it receives more than this multiple of its
+    /// capacity over this period.
     pub fall: (f64, Duration),
-    /// Connections that are idle for so long are closed.
+    /// Idle time after which a connection is closed.
     pub idle: Duration,
-    /// What it speaks.
+    /// Behaviour on `HELLO 3`.
     pub speech: Speech,
-    /// Further addresses that it listens at; those over IPv6 stand first in its list, those of Unix last.
+    /// Additional listeners; in discovery, IPv6 addresses come first and Unix-domain sockets last.
     pub doors: Vec<Entrance>,
-    /// The part of the places in its answers in RESP3 where a push stands.
+    /// Probability of a push message at each position of a RESP3 reply where one may occur.
     pub pushes: f64,
 }
 
 impl BoxConfig {
-    /// A warm box of usual size. Its work is a tenth of what the real ones have, so that tests are short.
+    /// A warm box of typical size. Processing times are a tenth of those of real boxes, which keeps tests short.
     pub fn new(name: &str) -> Self {
         BoxConfig {
             name: name.to_owned(),
@@ -73,49 +74,49 @@
     }
 }
 
-/// A request that came to a box.
+/// A request that a box received.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// When its last byte came.
+    /// When its last byte was received.
     pub at: Duration,
-    /// The request's id.
+    /// Request id.
     pub id: String,
-    /// Its key.
+    /// Requested key.
     pub key: u64,
-    /// It writes, under this idempotency key.
+    /// Idempotency key of a write; `None` for a read.
     pub write: Option<String>,
-    /// The address that it came in by: 0 for its zone's, then the further ones.
+    /// Listener that received it: 0 for that of the client's zone, then the additional ones from 1.
     pub door: usize,
-    /// When its answer was ready, and its first word: `hit`, `miss`, `pending`, `-BUSY`, ... Nothing for one that
-    /// was called off, or swallowed.
+    /// When its reply was ready, and the result: `hit`, `miss`, `pending`, `-BUSY`, ... `None` for a request that was
+    /// cancelled or never answered.
     pub answer: Option<(Duration, &'static str)>,
 }
 
 #[derive(Debug, Default)]
 struct Faults {
-    /// It takes requests and answers none.
+    /// Requests are accepted and not answered.
     silent: bool,
-    /// It turns new requests away.
+    /// New requests are rejected.
     draining: bool,
-    /// Its process is gone.
+    /// The process is down.
     down: bool,
-    /// It fell over, and stays down.
+    /// Overload during slow start has ended the process; it stays down until a restart.
     fallen: bool,
-    /// Parts of the answers that are reset, and that are spoilt.
+    /// Probabilities that a reply is replaced by a reset, and that it is malformed.
     reset: f64,
     spoilt: f64,
-    /// It speaks this instead of what it was made for.
+    /// Overrides the configured behaviour on `HELLO 3`.
     speech: Option<Speech>,
 }
 
-/// A box.
+/// A cache box.
 #[derive(Debug)]
 pub struct CacheBox {
-    /// What it is.
+    /// Configuration.
     pub config: BoxConfig,
-    /// Where it listens, one address for the clients of each zone.
+    /// Listen addresses, one for the clients of each zone.
     pub addresses: Vec<SocketAddr>,
-    /// Its further addresses.
+    /// Additional listeners.
     pub doors: Vec<Arc<Door>>,
     listeners: Mutex<Vec<TcpListener>>,
     clock: Clock,
@@ -124,25 +125,25 @@
     cache: Cache,
     cores: Semaphore,
     faults: Mutex<Faults>,
-    /// Counts the changes of its faults; who is stuck in one looks again.
+    /// Counts changes of `faults`; tasks blocked by a fault re-check it on each change.
     changed: watch::Sender<u64>,
     born: Mutex<Duration>,
     record: Mutex<Vec<Seen>>,
     recent: Mutex<VecDeque<Duration>>,
     rng: Mutex<fastrand::Rng>,
-    /// Waiting requests, and connections.
+    /// Number of waiting or active requests, and of connections.
     load: Mutex<(usize, usize)>,
     opened: AtomicUsize,
-    /// Fetches that are out, for those that want the same key.
+    /// Fetches in progress by key; further requests for the key wait for them.
     fetching: Mutex<HashMap<u64, Arc<Notify>>>,
 }
 
-/// A value of a key in a version.
+/// Returns the value of a key at a version.
 pub fn value(key: u64, version: u64) -> String {
     format!("{key:016x}:{version}")
 }
 
-fn served(value: &str, note: Option<&str>) -> Vec<u8> {
+fn encode_value(value: &str, note: Option<&str>) -> Vec<u8> {
     let note = note.map_or("$-1".into(), |n| format!("${}\r\n{n}", n.len()));
     format!("*3\r\n${}\r\n{value}\r\n{note}\r\n$-1\r\n", value.len()).into_bytes()
 }
@@ -180,24 +181,24 @@
         }
     }
 
-    // ---- what a test may ask and do ----
+    // ---- control and records for tests ----
 
-    /// All requests that came, in their order.
+    /// Returns all received requests in order of arrival.
     pub fn record(&self) -> Vec<Seen> {
         lock(&self.record).clone()
     }
 
-    /// It takes requests and answers none.
+    /// Accepts requests without answering while `silent`.
     pub fn silent(&self, silent: bool) {
         self.fault(|f| f.silent = silent);
     }
 
-    /// It turns new requests away, as a process does that is about to end.
+    /// Rejects new requests while `draining`, like a process that is shutting down.
     pub fn draining(&self, draining: bool) {
         self.fault(|f| f.draining = draining);
     }
 
-    /// Its process ends, or starts again with nothing cached.
+    /// Stops the process, or starts it again with an empty cache.
     pub fn down(&self, down: bool) {
         if !down {
             lock(&self.cache).clear();
@@ -206,22 +207,22 @@
         self.fault(|f| (f.down, f.fallen) = (down, f.fallen && down));
     }
 
-    /// The part of its answers that are reset instead.
+    /// Sets the probability that the connection is reset instead of a reply.
     pub fn resets(&self, part: f64) {
         self.fault(|f| f.reset = part);
     }
 
-    /// The part of its answers that can't be read.
+    /// Sets the probability that a reply is malformed.
     pub fn spoils(&self, part: f64) {
         self.fault(|f| f.spoilt = part);
     }
 
-    /// Its next process speaks this.
+    /// Sets the behaviour on `HELLO 3` for new connections.
     pub fn speaks(&self, speech: Speech) {
         self.fault(|f| f.speech = Some(speech));
     }
 
-    /// All its addresses for clients of a zone, in their order; nothing where it has but one.
+    /// Returns all addresses for clients of a zone in order of preference; `None` if there is only one.
     pub fn dials(&self, zone: usize) -> Option<Vec<String>> {
         let (six, unix): (Vec<_>, Vec<_>) = self.doors.iter().partition(|d| d.entrance == Entrance::Six);
         let all = six.iter().map(|d| d.address.clone()).chain([self.addresses[zone].to_string()]);
@@ -229,22 +230,22 @@
         (!self.doors.is_empty()).then_some(all)
     }
 
-    /// It was pushed over.
+    /// Returns true if overload during slow start has ended the process.
     pub fn fallen(&self) -> bool {
         lock(&self.faults).fallen
     }
 
-    /// When its process started last.
+    /// Time of the last start of the process.
     pub fn born(&self) -> Duration {
         *lock(&self.born)
     }
 
-    /// How many connections there ever were.
+    /// Total number of accepted connections.
     pub fn opened(&self) -> usize {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// How many connections it has.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         lock(&self.load).1
     }
@@ -258,15 +259,15 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    fn gone(&self) -> bool {
+    fn is_down(&self) -> bool {
         let faults = lock(&self.faults);
         faults.down || faults.fallen
     }
 
-    // ---- its life ----
+    // ---- serving ----
 
-    /// The part of its speed that it has now.
-    fn warmth(&self) -> f64 {
+    /// Current fraction of the full speed.
+    fn warm_up_fraction(&self) -> f64 {
         let Some((from, warm)) = self.config.cold else { return 1.0 };
         let age = self.clock.now().saturating_sub(self.born()).as_secs_f64();
         (from + (1.0 - from) * age / warm.as_secs_f64()).min(1.0)
@@ -279,7 +280,7 @@
                 let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
                 while let Ok((stream, _)) = listener.accept().await {
                     let _ = stream.set_nodelay(true);
-                    this.clone().came(stream, zone, 0);
+                    this.clone().handle_connection(stream, zone, 0);
                 }
             });
         }
@@ -288,10 +289,10 @@
         }
     }
 
-    /// A connection has come, by the door of this number.
-    pub(super) fn came<S: Stream>(self: Arc<Self>, stream: S, zone: usize, door: usize) {
-        if self.gone() {
-            // As the kernel of a machine answers where no process listens.
+    /// Serves a new connection from listener number `door`.
+    pub(super) fn handle_connection<S: Stream>(self: Arc<Self>, stream: S, zone: usize, door: usize) {
+        if self.is_down() {
+            // Like the kernel of a machine on which no process listens.
             stream.reset();
             return;
         }
@@ -299,7 +300,7 @@
             lock(&self.load).1 += 1;
             self.opened.fetch_add(1, Ordering::Relaxed);
             let mut changed = self.changed.subscribe();
-            let gone = async { while !self.gone() && changed.changed().await.is_ok() {} };
+            let gone = async { while !self.is_down() && changed.changed().await.is_ok() {} };
             tokio::select! {
                 () = self.connection(stream, zone, door) => {}
                 () = gone => {}
@@ -309,8 +310,8 @@
     }
 
     async fn connection<S: Stream>(self: &Arc<Self>, mut stream: S, zone: usize, door: usize) {
-        let home = self.config.zone;
-        self.network.whole(zone, home).await;
+        let own_zone = self.config.zone;
+        self.network.whole(zone, own_zone).await;
         let crowded = lock(&self.load).1 > self.config.connections;
         if !crowded {
             self.work(self.config.handshake).await;
@@ -319,57 +320,57 @@
         let speech = lock(&self.faults).speech.unwrap_or(self.config.speech);
         let mut three = false;
         let (answers, mut ready) = mpsc::unbounded_channel();
-        let mut works = JoinSet::new();
+        let mut requests = JoinSet::new();
         let mut parser = CommandParser::new(MemoryBudget::new(64 * MAX_BUFFERED_VALUE_BYTES));
         let mut buffer = vec![0; 16 << 10];
-        let way = self.network.distance(zone, home);
+        let delay = self.network.distance(zone, own_zone);
         let (mut input, mut output) = tokio::io::split(&mut stream);
         let manner = door.checked_sub(1).and_then(|i| self.doors.get(i));
         let reading = async {
             loop {
                 if let Some(door) = manner {
-                    door.while_it(|m| m == Manner::Stuck).await;
+                    door.wait_while(|m| m == Manner::Stuck).await;
                 }
                 let read = tokio::time::timeout(self.config.idle, input.read(&mut buffer)).await;
                 let n = match read {
                     Ok(Ok(n)) if n > 0 => n,
-                    // Idle: closed unless it is at work.
-                    Err(_) if !works.is_empty() => {
-                        while works.try_join_next().is_some() {}
+                    // An idle connection is closed unless requests are in progress.
+                    Err(_) if !requests.is_empty() => {
+                        while requests.try_join_next().is_some() {}
                         continue;
                     }
                     _ => return,
                 };
-                self.network.whole(zone, home).await;
+                self.network.whole(zone, own_zone).await;
                 if manner.is_some_and(|d| d.manner() == Manner::Deaf) {
                     continue;
                 }
-                let mut piece = &buffer[..n];
-                while !piece.is_empty() {
-                    let Ok((used, command)) = parser.feed(piece) else { return };
-                    piece = &piece[used..];
+                let mut unparsed = &buffer[..n];
+                while !unparsed.is_empty() {
+                    let Ok((used, command)) = parser.feed(unparsed) else { return };
+                    unparsed = &unparsed[used..];
                     let Some(command) = command else { continue };
-                    let greeted = command.arg(0).eq_ignore_ascii_case(b"HELLO") && command.arg(1) == b"3";
-                    if greeted && speech == Speech::Closes {
+                    let is_hello = command.arg(0).eq_ignore_ascii_case(b"HELLO") && command.arg(1) == b"3";
+                    if is_hello && speech == Speech::Closes {
                         return;
                     }
-                    three |= greeted && speech == Speech::Three;
+                    three |= is_hello && speech == Speech::Three;
                     let (done, answer) = tokio::sync::oneshot::channel();
                     let _ = answers.send(answer);
                     let (this, broken) = (self.clone(), broken.clone());
-                    works.spawn_local(async move {
-                        tokio::time::sleep(way).await;
-                        let answer = match (crowded, greeted && three) {
+                    requests.spawn_local(async move {
+                        tokio::time::sleep(delay).await;
+                        let answer = match (crowded, is_hello && three) {
                             (true, _) => BUSY.to_vec(),
-                            (false, true) => hello(),
+                            (false, true) => hello_reply(),
                             (false, false) => this.answer(command, &broken, door).await,
                         };
-                        let answer = if three && !greeted {
-                            dressed(answer, this.config.pushes, &mut lock(&this.rng))
+                        let answer = if three && !is_hello {
+                            to_resp3(answer, this.config.pushes, &mut lock(&this.rng))
                         } else {
                             answer
                         };
-                        let _ = done.send((tokio::time::Instant::now() + way, answer));
+                        let _ = done.send((tokio::time::Instant::now() + delay, answer));
                     });
                 }
             }
@@ -378,9 +379,9 @@
             while let Some(answer) = ready.recv().await {
                 let Ok((due, answer)) = answer.await else { return };
                 tokio::time::sleep_until(due).await;
-                self.network.whole(home, zone).await;
+                self.network.whole(own_zone, zone).await;
                 if let Some(door) = manner {
-                    door.while_it(|m| m == Manner::Mute).await;
+                    door.wait_while(|m| m == Manner::Mute).await;
                 }
                 if broken.get() || output.write_all(&answer).await.is_err() {
                     return;
@@ -391,18 +392,18 @@
             () = reading => {}
             () = writing => {}
         }
-        // What it has begun for this connection stops with it.
-        works.abort_all();
+        // Requests in progress are cancelled with their connection.
+        requests.abort_all();
         drop((input, output));
         if broken.get() {
             stream.reset();
         }
     }
 
-    /// Waits for a core, and works.
+    /// Waits for a core and occupies it for the processing time `work`.
     async fn work(&self, work: Duration) {
         let core = self.cores.acquire().await;
-        tokio::time::sleep(work.div_f64(self.config.speed * self.warmth())).await;
+        tokio::time::sleep(work.div_f64(self.config.speed * self.warm_up_fraction())).await;
         drop(core);
     }
 
@@ -421,10 +422,17 @@
         let write = name == b"CACHE.SET";
         let fields = text(3);
         let field = |name: &str| fields.split(',').find_map(|f| f.strip_prefix(name)).map(str::to_owned);
-        let keyed = write.then(|| field("k=").unwrap_or_default());
+        let idempotency = write.then(|| field("k=").unwrap_or_default());
         let at = self.clock.now();
-        let at = self.record_one(Seen { at, id: text(2), key, write: keyed.clone(), door, answer: None });
-        let (word, answer) = self.outcome(key, write, keyed).await;
+        let at = self.record_request(Seen {
+            at,
+            id: text(2),
+            key,
+            write: idempotency.clone(),
+            door,
+            answer: None,
+        });
+        let (word, answer) = self.execute(key, write, idempotency).await;
         let (reset, spoilt) = {
             let (faults, mut rng) = (lock(&self.faults), lock(&self.rng));
             (rng.f64() < faults.reset, rng.f64() < faults.spoilt)
@@ -444,24 +452,24 @@
         answer
     }
 
-    fn record_one(&self, seen: Seen) -> usize {
+    fn record_request(&self, seen: Seen) -> usize {
         let mut record = lock(&self.record);
         record.push(seen);
         record.len() - 1
     }
 
-    async fn outcome(&self, key: u64, write: bool, idempotency: Option<String>) -> (&'static str, Vec<u8>) {
+    async fn execute(&self, key: u64, write: bool, idempotency: Option<String>) -> (&'static str, Vec<u8>) {
         let mut changed = self.changed.subscribe();
         while lock(&self.faults).silent {
             let _ = changed.changed().await;
         }
-        if self.pushed_over() {
+        if self.record_and_check_overload() {
             std::future::pending::<()>().await;
         }
         if lock(&self.faults).draining {
             return ("-BUSY", BUSY.to_vec());
         }
-        let waiting = Waiting::new(&self.load);
+        let waiting = WaitingRequest::new(&self.load);
         if lock(&self.load).0 > self.config.queue {
             return ("-BUSY", BUSY.to_vec());
         }
@@ -470,35 +478,35 @@
         if write {
             let done = self.origin.write(key, &idempotency.unwrap_or_default()).await;
             return match done {
-                Some(version) => ("written", served(&value(key, version), None)),
+                Some(version) => ("written", encode_value(&value(key, version), None)),
                 None => ("-ERR", b"-ERR failed\r\n".to_vec()),
             };
         }
         let mut word = "hit";
         loop {
             if let Some(version) = lock(&self.cache).get(&key) {
-                return (word, served(&value(key, *version), Some(word)));
+                return (word, encode_value(&value(key, *version), Some(word)));
             }
             let other = lock(&self.fetching).get(&key).cloned();
             let Some(other) = other else { break };
-            // One that is called off, or fails, leaves nothing: the next in turn fetches.
+            // A cancelled or failed fetch leaves no cache entry; the next waiting request fetches again.
             other.notified().await;
             word = "pending";
         }
-        let done = Fetching::new(&self.fetching, key);
+        let done = FetchInProgress::new(&self.fetching, key);
         let version = self.origin.fetch(key).await;
         drop(done);
         match version {
             Some(version) => {
                 lock(&self.cache).insert(key, version);
-                ("miss", served(&value(key, version), Some("miss")))
+                ("miss", encode_value(&value(key, version), Some("miss")))
             }
             None => ("-ERR", b"-ERR failed\r\n".to_vec()),
         }
     }
 
-    /// Takes note of a request; true if it was one too many for a cold box.
-    fn pushed_over(&self) -> bool {
+    /// Records a request; returns true if the box is down from overload during slow start.
+    fn record_and_check_overload(&self) -> bool {
         let (multiple, span) = self.config.fall;
         let now = self.clock.now();
         let mut recent = lock(&self.recent);
@@ -506,11 +514,12 @@
         while recent.front().is_some_and(|at| *at + span < now) {
             recent.pop_front();
         }
-        let warmth = self.warmth();
-        if warmth >= 1.0 {
+        let warm_up_fraction = self.warm_up_fraction();
+        if warm_up_fraction >= 1.0 {
             return self.fallen();
         }
-        let rate = self.config.cores as f64 * self.config.speed * warmth / self.config.work[0].as_secs_f64();
+        let rate = self.config.cores as f64 * self.config.speed * warm_up_fraction
+            / self.config.work[0].as_secs_f64();
         if recent.len() as f64 > multiple * rate * span.as_secs_f64() {
             drop(recent);
             self.fault(|f| f.fallen = true);
@@ -519,33 +528,33 @@
     }
 }
 
-/// A request that waits or is worked on.
-struct Waiting<'a>(&'a Mutex<(usize, usize)>);
+/// Counts a waiting or active request until it is dropped.
+struct WaitingRequest<'a>(&'a Mutex<(usize, usize)>);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingRequest<'a> {
     fn new(load: &'a Mutex<(usize, usize)>) -> Self {
         lock(load).0 += 1;
-        Waiting(load)
+        WaitingRequest(load)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         lock(self.0).0 -= 1;
     }
 }
 
-/// A fetch that is out; who waits for it is told when it ends, also where it is called off.
-struct Fetching<'a>(&'a Mutex<HashMap<u64, Arc<Notify>>>, u64);
+/// A fetch in progress; requests waiting for it are notified when it ends, also when it is cancelled.
+struct FetchInProgress<'a>(&'a Mutex<HashMap<u64, Arc<Notify>>>, u64);
 
-impl<'a> Fetching<'a> {
+impl<'a> FetchInProgress<'a> {
     fn new(fetching: &'a Mutex<HashMap<u64, Arc<Notify>>>, key: u64) -> Self {
         lock(fetching).insert(key, Arc::default());
-        Fetching(fetching, key)
+        FetchInProgress(fetching, key)
     }
 }
 
-impl Drop for Fetching<'_> {
+impl Drop for FetchInProgress<'_> {
     fn drop(&mut self) {
         if let Some(waiting) = lock(self.0).remove(&self.1) {
             waiting.notify_waiters();
--- a/crates/testkit/src/world/clients.rs
+++ b/crates/testkit/src/world/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that ask at a steady rate, through a plain front that spreads them over the proxies, and keep a record
-//! of each request and its one final answer.
+//! Clients that send requests at a fixed mean rate, spread randomly over the proxies, and record each attempt with its
+//! outcome.
 
 use super::{lock, Clock};
 use redis_protocol::{resp2, resp3};
@@ -16,113 +16,113 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How a request ended for its client.
+/// Outcome of an attempt for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served.
+    /// The value was returned.
     Served,
-    /// Refused.
+    /// The proxy replied `-BUSY`: the request was rejected.
     Refused,
-    /// Failed.
+    /// The reply was another error, or was cut short.
     Failed,
-    /// No answer within its time.
+    /// No reply before the client's time-out.
     Late,
-    /// The connection ended without an answer, though the proxy had taken the request.
+    /// A new connection ended without a reply.
     Lost,
-    /// No proxy could be connected to.
+    /// No proxy accepted a connection.
     Nowhere,
-    /// What came is no answer, or is another key's.
+    /// The reply was malformed, or belongs to another key.
     Wrong,
 }
 
-/// A request and what became of it.
+/// An attempt of a request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// Its id; a client's retry has another one.
+    /// Request id; each retry has its own.
     pub id: String,
-    /// Its key.
+    /// Requested key.
     pub key: u64,
-    /// It writes, under this idempotency key.
+    /// Idempotency key of a write; `None` for a read.
     pub write: Option<String>,
-    /// The proxy that had it, by its number in the front.
+    /// Number of the proxy; `usize::MAX` if none accepted a connection.
     pub proxy: usize,
-    /// When it was sent, and when it ended.
+    /// When it was sent.
     pub sent: Duration,
     /// When it ended.
     pub ended: Duration,
-    /// How.
+    /// Outcome.
     pub end: End,
-    /// Which try it was, from 0.
+    /// Number of the attempt, from 0.
     pub tries: u32,
-    /// The protocol that its client speaks.
+    /// Protocol version of the client.
     pub protocol: Protocol,
 }
 
-/// A proxy as the front knows it.
+/// A proxy that clients send requests to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its number.
+    /// Number of the proxy.
     pub proxy: usize,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
-/// Clients.
+/// A client load.
 #[derive(Debug)]
 pub struct Load {
-    /// Requests a second, without retries.
+    /// Mean number of requests per second, without retries.
     pub rate: f64,
-    /// The part that writes.
+    /// Fraction of writes.
     pub writes: f64,
-    /// Keys; the first few are far more popular than the rest.
+    /// Number of keys; low keys are far more popular than the rest.
     pub keys: u64,
-    /// Retries of a request that was not served.
+    /// Maximum number of retries of a request.
     pub retries: u32,
-    /// The part of the clients that speak RESP3.
+    /// Fraction of requests over RESP3.
     pub three: f64,
-    /// Requests with their times, instead of those that are drawn at the rate.
+    /// Predefined requests, which replace those generated at `rate`.
     pub plan: Option<Plan>,
     front: Mutex<Vec<Target>>,
     record: Mutex<Vec<Asked>>,
     open: AtomicUsize,
     stopped: AtomicBool,
     extra: AtomicUsize,
-    /// Requests on kept connections that ended without an answer, and when: each may have crossed the close.
+    /// Requests on reused connections that ended without a reply, with the time: each may have crossed with the close.
     crossed: Mutex<Vec<(String, Duration)>>,
 }
 
-/// Requests that are laid down beforehand.
+/// A predefined list of requests.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// When, from the load's start, for which key, and whether it writes; in the order of their times.
+    /// Time since the start of the load, key, and whether it is a write; ordered by time.
     pub requests: Vec<(Duration, u64, bool)>,
-    /// A client waits so long for a try of a read, and of a write, ...
+    /// Time-out of one attempt of a read and of a write.
     pub wait: [Duration; 2],
-    /// ... and gives the request up after this.
+    /// Deadline of a read and of a write over all attempts.
     pub deadline: [Duration; 2],
-    /// It waits between tries for this at the least, and up to twice of it.
+    /// Minimum pause between attempts; the pause is random, up to twice this value.
     pub backoff: Duration,
 }
 
-/// A client waits so long for a read, and for a write.
-const WAIT: [Duration; 2] = [Duration::from_millis(480), Duration::from_millis(700)];
-/// A client allows so much for the way, past its wait.
-const GRACE: Duration = Duration::from_millis(50);
-/// A connection that has been idle for longer is not used again.
-const IDLE: Duration = Duration::from_secs(2);
+/// Time-out of one attempt of a read and of a write.
+const ATTEMPT_TIMEOUT: [Duration; 2] = [Duration::from_millis(480), Duration::from_millis(700)];
+/// Additional time that a client allows for the network after its time-out.
+const NETWORK_ALLOWANCE: Duration = Duration::from_millis(50);
+/// Maximum idle time of a reused connection.
+const MAX_CONNECTION_IDLE: Duration = Duration::from_secs(2);
 
-/// Kept connections, by their proxy and protocol.
+/// Idle connections by proxy and protocol.
 type Pool = Rc<RefCell<HashMap<(usize, Protocol), Vec<(TcpStream, Instant)>>>>;
 
-enum Try {
-    /// It ended so; a refusal may say when to return.
+enum AttemptResult {
+    /// The attempt ended with this outcome; a rejection may carry a time to wait before a retry.
     Ended(End, Duration),
-    /// The connection ended between requests: what was sent has not been read.
+    /// The connection ended before a reply began: the request may not have been read.
     Crossed,
 }
 
 impl Load {
-    /// So many requests a second to these proxies; a tenth of them writes.
+    /// Creates a load of `rate` requests per second to these proxies, with 10 % writes.
     pub fn new(rate: f64, front: Vec<Target>) -> Self {
         Load {
             rate,
@@ -140,31 +140,31 @@
         }
     }
 
-    /// Replaces the proxies that the front knows.
+    /// Replaces the list of proxies.
     pub fn front(&self, front: Vec<Target>) {
         *lock(&self.front) = front;
     }
 
-    /// All requests that have ended.
+    /// Returns all finished attempts.
     pub fn record(&self) -> Vec<Asked> {
         lock(&self.record).clone()
     }
 
-    /// Answers that came without a request.
+    /// Number of replies followed by unsolicited bytes.
     pub fn extra(&self) -> usize {
         self.extra.load(Ordering::Relaxed)
     }
 
-    /// Requests on kept connections that ended without an answer, with the time. They went out once more, as the
-    /// protocol wants it where a close crosses a request that has not been read.
+    /// Returns the requests on reused connections that ended without a reply, with the time. They were sent again, as the
+    /// protocol requires when a close crosses with a request that has not been read.
     pub fn crossed(&self) -> Vec<(String, Duration)> {
         lock(&self.crossed).clone()
     }
 
-    /// Asks for nothing more, and waits until all that is open has ended.
+    /// Sends no new requests and waits until all open requests have finished.
     ///
     /// # Panics
-    /// If that takes more than twenty seconds.
+    /// If that takes more than 20 s.
     pub fn finish(&self) -> Vec<Asked> {
         self.stopped.store(true, Ordering::Relaxed);
         let begun = std::time::Instant::now();
@@ -208,7 +208,7 @@
         });
     }
 
-    /// A request with its client's retries.
+    /// Sends a request with retries.
     async fn request(
         &self,
         clock: Clock,
@@ -228,20 +228,20 @@
                     let class = usize::from(write.is_some());
                     p.wait[class].min(p.deadline[class].saturating_sub(begun.elapsed()))
                 }
-                None => WAIT[usize::from(write.is_some())],
+                None => ATTEMPT_TIMEOUT[usize::from(write.is_some())],
             };
-            let (proxy, end, advised) =
-                self.one(clock, pool, &id, key, write.as_deref(), wait, protocol, rng).await;
+            let (proxy, end, retry_after) =
+                self.attempt(clock, pool, &id, key, write.as_deref(), wait, protocol, rng).await;
             let ended = clock.now();
             let write_key = write.clone();
             let asked = Asked { id, key, write: write_key, proxy, sent, ended, end, tries, protocol };
             lock(&self.record).push(asked);
-            // A write that may have run is not the client's to repeat; a refusal says that it has not.
+            // The client must not repeat a write that may have been executed; a rejected one has not been.
             if end == End::Served || (write.is_some() && end != End::Refused) {
                 return;
             }
             let pause = match &self.plan {
-                Some(p) => p.backoff.mul_f64(1.0 + rng.f64()).max(advised),
+                Some(p) => p.backoff.mul_f64(1.0 + rng.f64()).max(retry_after),
                 None => Duration::from_millis(50 + rng.u64(..100)),
             };
             let deadline = self.plan.as_ref().map(|p| p.deadline[usize::from(write.is_some())]);
@@ -252,9 +252,9 @@
         }
     }
 
-    /// One try: at the next proxy that can be connected to.
-    #[expect(clippy::too_many_arguments, reason = "a try is what it is")]
-    async fn one(
+    /// Sends one attempt to the first proxy, in random order, that accepts a connection.
+    #[expect(clippy::too_many_arguments, reason = "the parameters of one attempt")]
+    async fn attempt(
         &self,
         clock: Clock,
         pool: &Pool,
@@ -265,7 +265,7 @@
         protocol: Protocol,
         rng: &mut fastrand::Rng,
     ) -> (usize, End, Duration) {
-        let due = Instant::now() + wait + GRACE;
+        let due = Instant::now() + wait + NETWORK_ALLOWANCE;
         let mut command = Vec::new();
         let ms = wait.as_millis();
         let hex = format!("{key:016x}");
@@ -281,10 +281,10 @@
         command.extend(crate::scripted::encode(&args));
         let mut front = lock(&self.front).clone();
         rng.shuffle(&mut front);
-        // A crossed request goes out once more, on a new connection; a dead proxy is passed over.
+        // A request that crossed with a close is sent again on a new connection; unreachable proxies are skipped.
         let mut fresh = false;
         for target in front.iter().chain(front.iter()) {
-            let kept = if fresh { None } else { take(pool, (target.proxy, protocol)) };
+            let kept = if fresh { None } else { take_idle_connection(pool, (target.proxy, protocol)) };
             let reused = kept.is_some();
             let stream = match kept {
                 Some(stream) => stream,
@@ -294,78 +294,78 @@
                 },
             };
             let _ = stream.set_nodelay(true);
-            let greets = !reused && protocol == Protocol::Three;
-            let hello = if greets { crate::scripted::encode(&["HELLO", "3"]) } else { Vec::new() };
-            let said = [hello, command.clone()].concat();
+            let awaits_hello = !reused && protocol == Protocol::Three;
+            let hello = if awaits_hello { crate::scripted::encode(&["HELLO", "3"]) } else { Vec::new() };
+            let request_bytes = [hello, command.clone()].concat();
             let place = (target.proxy, protocol);
-            match self.exchange(pool, place, stream, &said, greets, key, due).await {
-                Try::Ended(end, advised) => return (target.proxy, end, advised),
-                Try::Crossed if reused => {
+            match self.exchange(pool, place, stream, &request_bytes, awaits_hello, key, due).await {
+                AttemptResult::Ended(end, retry_after) => return (target.proxy, end, retry_after),
+                AttemptResult::Crossed if reused => {
                     lock(&self.crossed).push((id.to_owned(), clock.now()));
                     fresh = true;
                 }
-                Try::Crossed => return (target.proxy, End::Lost, Duration::ZERO),
+                AttemptResult::Crossed => return (target.proxy, End::Lost, Duration::ZERO),
             }
         }
         (usize::MAX, End::Nowhere, Duration::ZERO)
     }
 
-    #[expect(clippy::too_many_arguments, reason = "a try is what it is")]
+    #[expect(clippy::too_many_arguments, reason = "the parameters of one attempt")]
     async fn exchange(
         &self,
         pool: &Pool,
         place: (usize, Protocol),
         mut stream: TcpStream,
-        said: &[u8],
-        mut greets: bool,
+        request_bytes: &[u8],
+        mut awaits_hello: bool,
         key: u64,
         due: Instant,
-    ) -> Try {
-        let (mut whole, mut buffer) = (Vec::new(), vec![0; 4096]);
+    ) -> AttemptResult {
+        let (mut received, mut buffer) = (Vec::new(), vec![0; 4096]);
         let exchange = async {
-            if stream.write_all(said).await.is_err() {
-                return Try::Crossed;
+            if stream.write_all(request_bytes).await.is_err() {
+                return AttemptResult::Crossed;
             }
             loop {
                 let n = match stream.read(&mut buffer).await {
                     Ok(n) if n > 0 => n,
-                    _ if whole.is_empty() => return Try::Crossed,
-                    // It began to answer: the client can tell that it is not whole.
-                    _ => return Try::Ended(End::Failed, Duration::ZERO),
+                    _ if received.is_empty() => return AttemptResult::Crossed,
+                    // The reply has begun: the client can see that it is incomplete.
+                    _ => return AttemptResult::Ended(End::Failed, Duration::ZERO),
                 };
-                whole.extend_from_slice(&buffer[..n]);
-                while !whole.is_empty() {
-                    let (used, end) = match decoded(&whole, place.1, key) {
+                received.extend_from_slice(&buffer[..n]);
+                while !received.is_empty() {
+                    let (used, end) = match decode_reply(&received, place.1, key) {
                         Ok(None) => break,
                         Ok(Some(frame)) => frame,
-                        Err(()) => return Try::Ended(End::Wrong, Duration::ZERO),
+                        Err(()) => return AttemptResult::Ended(End::Wrong, Duration::ZERO),
                     };
-                    if std::mem::take(&mut greets) {
-                        whole.drain(..used);
+                    if std::mem::take(&mut awaits_hello) {
+                        received.drain(..used);
                         continue;
                     }
-                    if used < whole.len() {
+                    if used < received.len() {
                         self.extra.fetch_add(1, Ordering::Relaxed);
                     }
-                    return Try::Ended(end, advice(&whole));
+                    return AttemptResult::Ended(end, parse_retry_after(&received));
                 }
             }
         };
         let Ok(ended) = tokio::time::timeout_at(due, exchange).await else {
-            return Try::Ended(End::Late, Duration::ZERO);
+            return AttemptResult::Ended(End::Late, Duration::ZERO);
         };
-        if matches!(ended, Try::Ended(End::Served | End::Refused | End::Failed, _)) {
+        if matches!(ended, AttemptResult::Ended(End::Served | End::Refused | End::Failed, _)) {
             pool.borrow_mut().entry(place).or_default().push((stream, Instant::now()));
         }
         ended
     }
 }
 
-/// Reads one answer in its client's protocol, by a decoder that is not this project's: how long it is, and what it
-/// says. An error if it is none in that protocol.
-fn decoded(bytes: &[u8], protocol: Protocol, key: u64) -> Result<Option<(usize, End)>, ()> {
+/// Decodes one reply in the client's protocol with a third-party decoder; returns its length and outcome, `None` if it is
+/// incomplete, and an error if it is invalid in that protocol.
+fn decode_reply(bytes: &[u8], protocol: Protocol, key: u64) -> Result<Option<(usize, End)>, ()> {
     let error = |text: &str| if text.split(' ').next() == Some("BUSY") { End::Refused } else { End::Failed };
-    let served = |value: &[u8]| if names(value, key) { End::Served } else { End::Wrong };
+    let served = |value: &[u8]| if belongs_to_key(value, key) { End::Served } else { End::Wrong };
     match protocol {
         Protocol::Two => {
             use resp2::types::OwnedFrame as Frame;
@@ -384,7 +384,7 @@
             use resp3::types::OwnedFrame as Frame;
             let decoded = resp3::decode::complete::decode(bytes).map_err(|_| ())?;
             let Some((frame, used)) = decoded else { return Ok(None) };
-            // RESP3 has a null of its own.
+            // RESP3 has its own null type; the RESP2 nulls are invalid.
             if bytes[..used].windows(5).any(|w| w == b"$-1\r\n" || w == b"*-1\r\n") {
                 return Err(());
             }
@@ -394,7 +394,7 @@
                     Some(Frame::BlobString { data, .. } | Frame::VerbatimString { data, .. }) => served(data),
                     _ => End::Failed,
                 },
-                // The answer to a greeting.
+                // The reply to `HELLO`.
                 Frame::Map { .. } => End::Served,
                 _ => End::Wrong,
             };
@@ -403,24 +403,24 @@
     }
 }
 
-/// When a refusal says to return; nothing where it does not.
-fn advice(bytes: &[u8]) -> Duration {
+/// Returns the retry delay of a `-BUSY` reply; zero if it has none.
+fn parse_retry_after(bytes: &[u8]) -> Duration {
     let line = std::str::from_utf8(bytes).ok().and_then(|l| l.strip_prefix("-BUSY "));
     Duration::from_millis(line.and_then(|l| l.trim_end().parse().ok()).unwrap_or(0))
 }
 
-/// Is this a value of the key? It begins with it.
-fn names(value: &[u8], key: u64) -> bool {
+/// Returns true if the value belongs to the key: it begins with the key.
+fn belongs_to_key(value: &[u8], key: u64) -> bool {
     value.starts_with(format!("{key:016x}:").as_bytes())
 }
 
-/// A kept connection that has neither ended nor said anything since.
-fn take(pool: &Pool, place: (usize, Protocol)) -> Option<TcpStream> {
+/// Takes an idle connection that is still open and has no unsolicited input.
+fn take_idle_connection(pool: &Pool, place: (usize, Protocol)) -> Option<TcpStream> {
     let mut pool = pool.borrow_mut();
     let kept = pool.get_mut(&place)?;
     while let Some((stream, since)) = kept.pop() {
-        let quiet = stream.try_read(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
-        if quiet && since.elapsed() < IDLE {
+        let is_quiet = stream.try_read(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+        if is_quiet && since.elapsed() < MAX_CONNECTION_IDLE {
             return Some(stream);
         }
     }
--- a/crates/testkit/src/world/discovery.rs
+++ b/crates/testkit/src/world/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the whole list, or a watch on changes, over HTTP/1.1. Each proxy has an address of its own there, so
-//! that the record says which one was told what.
+//! Discovery over HTTP/1.1: the whole list, or a long poll for changes. Each proxy has its own listen address, so that
+//! the record shows which proxy received which list.
 
 use super::boxes::CacheBox;
 use super::{listeners, lock, Clock};
@@ -12,14 +12,14 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// What discovery says of a box.
+/// State of a box in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It takes work.
+    /// The box accepts requests.
     Up,
-    /// It finishes what it has.
+    /// The box finishes its open requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The box is removed.
     Removed,
 }
 
@@ -33,29 +33,29 @@
     }
 }
 
-/// How discovery behaves.
+/// Fault mode of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// No fault.
     Well,
-    /// It answers 503, and ends watches so.
+    /// Answers 503, also to waiting long polls.
     Unavailable,
-    /// It resets connections.
+    /// Resets connections.
     Down,
-    /// It takes calls and says nothing.
+    /// Accepts requests and does not answer.
     Silent,
 }
 
-/// An answer that a proxy was given.
+/// A list that was sent to a proxy.
 #[derive(Clone, Debug)]
 pub struct Told {
-    /// When it was written.
+    /// When it was sent.
     pub at: Duration,
-    /// To which proxy.
+    /// Number of the proxy.
     pub proxy: usize,
-    /// The list's version.
+    /// Version of the list.
     pub version: u64,
-    /// The boxes in it and what was said of each.
+    /// Names and states of the boxes in the list.
     pub hosts: Vec<(String, Health)>,
 }
 
@@ -63,16 +63,16 @@
 struct Entry {
     name: String,
     addresses: Vec<SocketAddr>,
-    /// All of them for each zone, where there are several.
+    /// All addresses for each zone; `None` if there is only one.
     dials: Vec<Option<Vec<String>>>,
     zone: String,
     health: Health,
     born_ms: u64,
-    /// The version that changed it last.
+    /// Version of the last change of this entry.
     version: u64,
 }
 
-/// Discovery.
+/// The discovery service.
 #[derive(Debug)]
 pub struct Discovery {
     clock: Clock,
@@ -102,22 +102,22 @@
         }
     }
 
-    /// Where a proxy asks.
+    /// Address for proxy number `proxy`.
     pub fn address(&self, proxy: usize) -> SocketAddr {
         self.addresses[proxy % self.addresses.len()]
     }
 
-    /// How it behaves from now on.
+    /// Sets the fault mode.
     pub fn mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// All answers that were given.
+    /// Returns all lists that were sent.
     pub fn told(&self) -> Vec<Told> {
         lock(&self.told).clone()
     }
 
-    /// When a proxy was first told this of a box.
+    /// Returns when a proxy was first sent this state of a box.
     pub fn told_of(&self, proxy: usize, name: &str, health: Health) -> Option<Duration> {
         let told = lock(&self.told);
         let fits = |t: &&Told| t.proxy == proxy && t.hosts.iter().any(|(n, h)| n == name && *h == health);
@@ -139,7 +139,7 @@
         self.version.send_replace(version);
     }
 
-    /// Changes what it says of a box, at once; [`Discovery::changes`] waits for the lag first.
+    /// Publishes the state of a box immediately, without the configured lag.
     pub fn set(&self, name: &str, health: Health) {
         let mut entries = lock(&self.entries);
         let version = *self.version.borrow() + 1;
@@ -150,7 +150,7 @@
         self.version.send_replace(version);
     }
 
-    /// Turns the order of all boxes' addresses round.
+    /// Reverses the order of the addresses of all boxes.
     pub fn turn_dials(&self) {
         let mut entries = lock(&self.entries);
         let version = *self.version.borrow() + 1;
@@ -162,7 +162,7 @@
         self.version.send_replace(version);
     }
 
-    /// A box's process started anew.
+    /// Publishes that a box's process has restarted.
     pub fn reborn(&self, name: &str) {
         if let Some(entry) = lock(&self.entries).iter_mut().find(|e| e.name == name) {
             entry.born_ms = self.clock.unix_ms();
@@ -170,7 +170,8 @@
         self.set(name, Health::Up);
     }
 
-    pub(super) async fn changes(&self, name: &str, health: Health) {
+    /// Publishes the state of a box after the configured lag.
+    pub(super) async fn set_after_lag(&self, name: &str, health: Health) {
         tokio::time::sleep(self.lag).await;
         self.set(name, health);
     }
@@ -184,7 +185,7 @@
         host
     }
 
-    /// The whole list, as a proxy of this zone is told.
+    /// Returns the whole list for a proxy in this zone.
     pub fn whole(&self, zone: usize) -> Value {
         let entries = lock(&self.entries);
         let there = entries.iter().filter(|e| e.health != Health::Removed);
@@ -192,7 +193,8 @@
             "hosts": there.map(|e| self.host(e, zone)).collect::<Vec<_>>()})
     }
 
-    fn since(&self, zone: usize, since: u64) -> Value {
+    /// Returns the changes after version `since` for a proxy in this zone.
+    fn changes_since(&self, zone: usize, since: u64) -> Value {
         let entries = lock(&self.entries);
         let changed = entries.iter().filter(|e| e.version > since);
         json!({"seq": *self.version.borrow(), "whole": false,
@@ -207,14 +209,14 @@
                 while let Ok((stream, _)) = listener.accept().await {
                     let this = this.clone();
                     spawn_local(async move {
-                        let _ = this.call(stream, proxy).await;
+                        let _ = this.handle_request(stream, proxy).await;
                     });
                 }
             });
         }
     }
 
-    async fn call(&self, mut stream: TcpStream, proxy: usize) -> std::io::Result<()> {
+    async fn handle_request(&self, mut stream: TcpStream, proxy: usize) -> std::io::Result<()> {
         let mut input = Vec::new();
         let target = loop {
             let mut piece = [0; 2048];
@@ -239,7 +241,7 @@
             query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
         let mut mode = self.mode.subscribe();
-        let sick = |mode: &Mode| *mode != Mode::Well;
+        let is_faulty = |mode: &Mode| *mode != Mode::Well;
         let since = number("since");
         let well = *self.mode.borrow() == Mode::Well;
         if let (Some(since), true) = (since, well) {
@@ -247,7 +249,7 @@
             let mut version = self.version.subscribe();
             tokio::select! {
                 _ = version.wait_for(|v| *v > since) => {}
-                _ = mode.wait_for(sick) => {}
+                _ = mode.wait_for(is_faulty) => {}
                 () = tokio::time::sleep(wait) => {}
             }
         }
@@ -260,7 +262,7 @@
                 return Ok(());
             }
             Mode::Silent => {
-                // Until the other side ends the call.
+                // Keeps the connection open until the proxy closes it.
                 while stream.read(&mut [0; 64]).await? > 0 {}
                 return Ok(());
             }
@@ -268,7 +270,7 @@
         let zone = proxy % self.zones.len();
         let now = *self.version.borrow();
         let list = match since {
-            Some(since) if since <= now => self.since(zone, since),
+            Some(since) if since <= now => self.changes_since(zone, since),
             _ => self.whole(zone),
         };
         let health = |h: &Value| match h["health"].as_str() {
--- a/crates/testkit/src/world/doors.rs
+++ b/crates/testkit/src/world/doors.rs
@@ -1,4 +1,4 @@
-//! Further addresses of a box, each with a way to go wrong by itself.
+//! Additional listeners of a box, each with its own fault mode.
 
 use super::boxes::CacheBox;
 use super::lock;
@@ -11,34 +11,34 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// What kind of address.
+/// Kind of an additional listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entrance {
-    /// IPv6, or another port of IPv4 where this machine has no IPv6.
+    /// IPv6, or another IPv4 port on a machine without IPv6.
     Six,
     /// A Unix-domain socket.
     Unix,
 }
 
-/// How an address behaves.
+/// Fault mode of an additional listener.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Manner {
-    /// As the box does.
+    /// No fault: behaves like the box.
     #[default]
     Well,
-    /// It takes connections and what is sent, and nothing comes of it.
+    /// Accepts connections and discards all input.
     Deaf,
-    /// What is sent is worked on, and no answer comes out.
+    /// Processes commands and sends no replies.
     Mute,
-    /// It takes connections, and reads nothing.
+    /// Accepts connections and reads nothing.
     Stuck,
-    /// It resets each connection at once.
+    /// Resets each connection immediately.
     Resets,
 }
 
-/// A connection of either kind.
+/// A TCP or Unix-domain connection.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Has it end with a reset when it is dropped, where there is such a thing.
+    /// Makes the connection end with a reset on drop; no effect on Unix-domain sockets.
     fn reset(&self);
 }
 
@@ -58,12 +58,12 @@
     Unix(UnixListener),
 }
 
-/// An address.
+/// An additional listener of a box.
 #[derive(Debug)]
 pub struct Door {
-    /// Its kind.
+    /// Kind of listener.
     pub entrance: Entrance,
-    /// As lists have it.
+    /// Address in the format of discovery.
     pub address: String,
     listener: Mutex<Option<Listener>>,
     manner: watch::Sender<Manner>,
@@ -76,14 +76,14 @@
             Entrance::Six => {
                 let bound = TcpListener::bind("[::1]:0").or_else(|_| TcpListener::bind("127.0.0.1:0"));
                 let listener = bound.expect("a listener");
-                listener.set_nonblocking(true).expect("set");
+                listener.set_nonblocking(true).expect("non-blocking mode");
                 let address = listener.local_addr().expect("an address").to_string();
                 (Listener::Tcp(listener), address, None)
             }
             Entrance::Unix => {
                 let path = crate::scripted::scratch("box.sock");
                 let listener = UnixListener::bind(&path).expect("a listener");
-                listener.set_nonblocking(true).expect("set");
+                listener.set_nonblocking(true).expect("non-blocking mode");
                 (Listener::Unix(listener), format!("unix:{}", path.display()), Some(path))
             }
         };
@@ -91,45 +91,46 @@
         Door { entrance, address, listener: Mutex::new(Some(listener)), manner, path }
     }
 
-    /// It behaves so from now on, to connections that it has as well.
+    /// Sets the fault mode, for new and existing connections.
     pub fn behaves(&self, manner: Manner) {
         self.manner.send_replace(manner);
     }
 
-    /// How it behaves.
+    /// Returns the fault mode.
     pub fn manner(&self) -> Manner {
         *self.manner.borrow()
     }
 
-    /// Waits while it behaves like that.
-    pub(super) async fn while_it(&self, like: impl Fn(Manner) -> bool) {
+    /// Waits while the fault mode satisfies `like`.
+    pub(super) async fn wait_while(&self, like: impl Fn(Manner) -> bool) {
         let _ = self.manner.subscribe().wait_for(|m| !like(*m)).await;
     }
 
     pub(super) fn serve(self: Arc<Self>, owner: Arc<CacheBox>, number: usize) {
         let Some(listener) = lock(&self.listener).take() else { return };
         let zone = owner.config.zone;
-        let came = move |door: &Door, stream: Result<TcpStream, UnixStream>| match (door.manner(), stream) {
+        let accepted = move |door: &Door, stream: Result<TcpStream, UnixStream>| match (door.manner(), stream)
+        {
             (Manner::Resets, Ok(stream)) => stream.reset(),
             (Manner::Resets, Err(_)) => {}
             (_, Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
-                owner.clone().came(stream, zone, number);
+                owner.clone().handle_connection(stream, zone, number);
             }
-            (_, Err(stream)) => owner.clone().came(stream, zone, number),
+            (_, Err(stream)) => owner.clone().handle_connection(stream, zone, number),
         };
         spawn_local(async move {
             match listener {
                 Listener::Tcp(listener) => {
                     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
                     while let Ok((stream, _)) = listener.accept().await {
-                        came(&self, Ok(stream));
+                        accepted(&self, Ok(stream));
                     }
                 }
                 Listener::Unix(listener) => {
                     let Ok(listener) = tokio::net::UnixListener::from_std(listener) else { return };
                     while let Ok((stream, _)) = listener.accept().await {
-                        came(&self, Err(stream));
+                        accepted(&self, Err(stream));
                     }
                 }
             }
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when.
+//! Fault injection: faults and scripts of timed faults.
 
 use super::boxes::CacheBox;
 use super::discovery::{Discovery, Health, Mode};
@@ -9,69 +9,72 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Something that goes wrong. Boxes and zones are named by their numbers.
+/// Time from the publication of a drain until the box rejects new requests.
+const DRAIN_DELAY: Duration = Duration::from_millis(500);
+
+/// A fault. Boxes and zones are given by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A box takes requests and answers none.
+    /// A box accepts requests without answering.
     Silent(usize),
-    /// A box's process is gone, its connections reset; at the end it starts again, cold where it can be, and
-    /// discovery says so.
+    /// A box's process is down and its connections are reset. At the end of the fault it starts again, with slow start
+    /// if configured, and discovery publishes the restart.
     Down(usize),
-    /// A part of a box's answers is reset.
+    /// A box resets the connection instead of a reply, with this probability.
     Resets(usize, f64),
-    /// A part of a box's answers can't be read.
+    /// A box sends malformed replies, with this probability.
     Spoils(usize, f64),
-    /// Discovery says that a box drains, and the box turns away half a second after that.
+    /// Discovery publishes that a box drains; 500 ms later the box rejects new requests.
     Drain(usize),
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from all others.
     Cut(usize),
-    /// Discovery behaves so.
+    /// Discovery is in this mode.
     Discovery(Mode),
-    /// The origin stops.
+    /// The origin stops processing.
     Origin,
-    /// A further address of a box behaves so.
+    /// An additional listener of a box, by number, has this fault mode.
     Door(usize, usize, Manner),
-    /// A box's process ends, and starts again with another version of the protocol; discovery says so.
+    /// A box's process stops and starts again with another protocol version; discovery publishes the restart.
     Upgrade(usize, Speech),
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// From the script's start.
+    /// Start, relative to the start of the script.
     pub at: Duration,
-    /// Nothing: until the end of the world.
+    /// Duration; `None` for a permanent fault.
     pub lasts: Option<Duration>,
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Faults in the order that they were written; they may overlap.
+/// A list of timed faults, which may overlap.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script {
-    /// The faults.
+    /// Timed faults in order of insertion.
     pub steps: Vec<Step>,
 }
 
 impl Script {
-    /// Nothing goes wrong.
+    /// Creates a script without faults.
     pub fn new() -> Self {
         Script::default()
     }
 
-    /// Adds a fault that lasts for so long.
+    /// Adds a fault that starts at `at` and lasts for `lasts`.
     pub fn then(mut self, at: Duration, lasts: Duration, fault: Fault) -> Self {
         self.steps.push(Step { at, lasts: Some(lasts), fault });
         self
     }
 
-    /// Adds a fault that never ends.
+    /// Adds a permanent fault that starts at `at`.
     pub fn for_good(mut self, at: Duration, fault: Fault) -> Self {
         self.steps.push(Step { at, lasts: None, fault });
         self
     }
 
-    /// So many faults within `span`, the same for the same seed. Each lasts for a tenth to a third of the span.
+    /// Generates `count` random faults within `span`, deterministic for a seed. Each lasts for 10 % to 33 % of the span.
     pub fn random(seed: u64, count: usize, boxes: usize, zones: usize, span: Duration) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let steps = (0..count).map(|_| {
@@ -93,7 +96,7 @@
     }
 }
 
-/// Begins a fault, or ends it.
+/// Starts a fault (`on`) or ends it.
 pub(super) fn set(
     fault: &Fault,
     on: bool,
@@ -102,7 +105,7 @@
     discovery: &Arc<Discovery>,
     origin: &Origin,
 ) {
-    let part = |p: f64| if on { p } else { 0.0 };
+    let probability = |p: f64| if on { p } else { 0.0 };
     let at = |i: usize| &boxes[i % boxes.len()];
     match *fault {
         Fault::Silent(i) => at(i).silent(on),
@@ -119,8 +122,8 @@
                 discovery.reborn(&at(i).config.name);
             }
         }
-        Fault::Resets(i, p) => at(i).resets(part(p)),
-        Fault::Spoils(i, p) => at(i).spoils(part(p)),
+        Fault::Resets(i, p) => at(i).resets(probability(p)),
+        Fault::Spoils(i, p) => at(i).spoils(probability(p)),
         Fault::Drain(i) => {
             let (one, discovery) = (at(i).clone(), discovery.clone());
             tokio::task::spawn_local(async move {
@@ -128,9 +131,9 @@
                 if !on {
                     one.draining(false);
                 }
-                discovery.changes(&one.config.name, health).await;
+                discovery.set_after_lag(&one.config.name, health).await;
                 if on {
-                    tokio::time::sleep(Duration::from_millis(500)).await;
+                    tokio::time::sleep(DRAIN_DELAY).await;
                     one.draining(true);
                 }
             });
--- a/crates/testkit/src/world/mod.rs
+++ b/crates/testkit/src/world/mod.rs
@@ -1,11 +1,11 @@
-//! Stand-ins that act by themselves: cache boxes before a slow origin, discovery, a network of zones, clients.
+//! Autonomous stand-ins: cache boxes in front of a slow origin, discovery, a network of zones, clients.
 //!
-//! All of them live on one thread of their own and are steered from any other. What they do by chance comes from
-//! the world's seed, what goes wrong from a [`Script`]; sockets and the machine's load decide the rest. Each
-//! keeps a record, with times since the world's start, so that a test can say who got what after when.
+//! All of them run on one thread of the world and can be controlled from any other. Random choices come from the
+//! world's seed and faults from a [`Script`]; the order of socket events and the machine's load are not deterministic.
+//! Each stand-in keeps a record with times since the world's start, so that a test can check who received what and when.
 //!
-//! Left out: a connection over a cut link still comes up (the kernel of this machine accepts it) and is silent
-//! then; the origin's own stop under overload is a queue that turns away.
+//! Simplifications: a connection over a cut link is still established (the local kernel accepts it) and carries no data;
+//! overload of the origin is modelled as a bounded queue that rejects requests.
 
 mod boxes;
 mod clients;
@@ -31,39 +31,40 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::mpsc;
 
-/// The time that a proxy may still send to a box after it was told of its drain; 50 ms are the sockets'.
-const GRACE: Duration = Duration::from_millis(550);
+/// How long a proxy may still send to a box after it was notified of its drain: 500 ms by the rules, 50 ms for the
+/// sockets.
+const DRAIN_GRACE: Duration = Duration::from_millis(550);
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// Which: `lost`, `doubled`, `drain` or `cold-box`.
+    /// Name of the rule: `lost`, `doubled`, `drain` or `cold-box`.
     pub rule: &'static str,
-    /// The request that did it.
+    /// Id of the request that violated the rule, if it is known.
     pub id: Option<String>,
-    /// What happened.
+    /// Description of the violation.
     pub what: String,
 }
 
-type Work = Box<dyn FnOnce() + Send>;
+type Job = Box<dyn FnOnce() + Send>;
 
-/// Locks; a panic elsewhere has failed the test already.
+/// Locks a mutex and ignores poisoning: a panic in another thread has already failed the test.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// So many listeners for the world's thread, and their addresses.
+/// Binds `count` non-blocking listeners; returns them and their addresses.
 fn listeners(count: usize) -> (Vec<TcpListener>, Vec<SocketAddr>) {
     let one = |_| {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a listener");
-        listener.set_nonblocking(true).expect("set");
+        listener.set_nonblocking(true).expect("non-blocking mode");
         let address = listener.local_addr().expect("an address");
         (listener, address)
     };
     (0..count).map(one).unzip()
 }
 
-/// The time since a world's start.
+/// Measures the time since the world's start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -71,40 +72,40 @@
 }
 
 impl Clock {
-    /// Since the world's start.
+    /// Time since the world's start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The same as Unix time in milliseconds.
+    /// Current Unix time in milliseconds.
     pub fn unix_ms(&self) -> u64 {
         self.unix_ms + self.now().as_millis() as u64
     }
 }
 
-/// What a world is made of.
+/// Configuration of a world.
 #[derive(Clone, Debug)]
 pub struct WorldConfig {
-    /// The source of chance.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Names of zones.
     pub zones: Vec<String>,
-    /// One way between two zones.
+    /// One-way delay between two zones.
     pub distance: Duration,
-    /// Its boxes.
+    /// Configuration of the boxes.
     pub boxes: Vec<BoxConfig>,
-    /// How many proxies will ask its discovery.
+    /// Number of proxies that use discovery.
     pub proxies: usize,
-    /// Fetches that the origin works on at once, and how long each takes.
+    /// Number of concurrent fetches of the origin, and the duration of each.
     pub origin: (usize, Duration),
-    /// How much later than a change discovery tells of it.
+    /// Delay between a change and its publication by discovery.
     pub lag: Duration,
-    /// So many of the boxes, the last ones, are not in service: discovery does not list them.
+    /// Number of boxes, counted from the last, that are not in service: discovery does not list them.
     pub unlisted: usize,
 }
 
 impl WorldConfig {
-    /// So many boxes of mixed speed over three zones, warm, for so many proxies.
+    /// `boxes` warm boxes of different speeds in three zones, for `proxies` proxies.
     pub fn new(seed: u64, boxes: usize, proxies: usize) -> Self {
         let zones: Vec<String> = ["joburg", "durban", "cape-town"].map(String::from).into();
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -121,32 +122,32 @@
     }
 }
 
-/// A whole world. It ends when it is dropped.
+/// A running world, stopped on drop.
 pub struct World {
-    /// Its time.
+    /// Clock of all records.
     pub clock: Clock,
     /// The network between its zones.
     pub network: Arc<Network>,
-    /// What the boxes cache.
+    /// The origin behind the boxes.
     pub origin: Arc<Origin>,
     /// The boxes.
     pub boxes: Vec<Arc<CacheBox>>,
     /// Discovery.
     pub discovery: Arc<Discovery>,
     config: WorldConfig,
-    spawn: mpsc::UnboundedSender<Work>,
+    spawn: mpsc::UnboundedSender<Job>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl World {
-    /// Starts everything.
+    /// Starts all stand-ins.
     ///
     /// # Panics
-    /// If the machine has no sockets left.
+    /// If a socket cannot be opened.
     pub fn start(config: WorldConfig) -> World {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = Clock { start: Instant::now(), unix_ms: unix.as_millis() as u64 };
-        let (spawn, mut work) = mpsc::unbounded_channel::<Work>();
+        let (spawn, mut work) = mpsc::unbounded_channel::<Job>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.expect("a runtime");
@@ -165,7 +166,7 @@
             let peer = CacheBox::new(one.clone(), clock, origin.clone(), network.clone(), seed);
             boxes.push(Arc::new(peer));
         }
-        // A write voids the copies that other boxes keep.
+        // A write invalidates the copies in all boxes.
         origin.caches(boxes.iter().map(|b| b.cache()).collect());
         let discovery = Arc::new(Discovery::new(clock, config.proxies, config.zones.clone(), config.lag));
         let world = World { clock, network, origin, boxes, discovery, config, spawn, thread: Some(thread) };
@@ -179,7 +180,7 @@
         world
     }
 
-    /// Runs something on the world's thread, where it may spawn tasks.
+    /// Runs a closure on the world's thread, where it may spawn local tasks.
     fn run(&self, work: impl FnOnce() + Send + 'static) {
         let _ = self.spawn.send(Box::new(work));
     }
@@ -189,7 +190,7 @@
         self.run(move || one.serve());
     }
 
-    /// Plays a script from now on.
+    /// Starts a script of faults.
     pub fn play(&self, script: Script) {
         let (boxes, network) = (self.boxes.clone(), self.network.clone());
         let (discovery, origin) = (self.discovery.clone(), self.origin.clone());
@@ -209,7 +210,7 @@
         });
     }
 
-    /// Starts clients.
+    /// Starts a client load.
     pub fn load(&self, load: Load) -> Arc<Load> {
         let load = Arc::new(load);
         let (running, clock, seed) = (load.clone(), self.clock, self.config.seed);
@@ -217,7 +218,8 @@
         load
     }
 
-    /// Requests that a proxy had read, and left unanswered by ending the connection: a box had seen them by then.
+    /// Returns the ids of requests that a proxy had read but left unanswered when it closed the connection: a box had
+    /// received them before the close.
     pub fn taken_and_lost(&self, load: &Load) -> Vec<String> {
         let crossed = load.crossed();
         let seen: std::collections::HashMap<String, Duration> =
@@ -226,9 +228,9 @@
         lost.map(|(id, _)| id).collect()
     }
 
-    /// The rules that were broken, by the records of both ends; call it when the load has finished. What proxies that
-    /// were killed had taken is lost with them, and what they knew of drains as well. A request is named by its id
-    /// where one did it.
+    /// Returns all rule violations found in the records of clients and boxes; call it after the load has finished.
+    /// Proxies in `killed` are exempt from the rules on lost requests and drains, because a killed process loses the
+    /// requests that it had read and its list of boxes.
     pub fn broken(&self, load: &Load, proxies: usize, killed: &[usize]) -> Vec<Broken> {
         let record = load.record();
         let broken = |rule, id: Option<&str>, what| Broken { rule, id: id.map(str::to_owned), what };
@@ -237,7 +239,7 @@
         for asked in record.iter().filter(bad) {
             all.push(broken("lost", Some(&asked.id), format!("{:?} at proxy {}", asked.end, asked.proxy)));
         }
-        // Whose proxy was killed had its request taken as well: which of them it was can't be told.
+        // With killed proxies, the records do not show which proxy had read a lost request.
         for id in self.taken_and_lost(load).into_iter().filter(|_| killed.is_empty()) {
             all.push(broken("lost", Some(&id), "a proxy had read it, and ended the connection".into()));
         }
@@ -256,15 +258,15 @@
         for one in &self.boxes {
             for i in (0..proxies).filter(|i| !killed.contains(i)) {
                 let name = &one.config.name;
-                let Some(told) = self.discovery.told_of(i, name, Health::Draining) else { continue };
-                let ups = self.discovery.told().into_iter().filter(|t| t.proxy == i && t.at > told);
+                let Some(notified) = self.discovery.told_of(i, name, Health::Draining) else { continue };
+                let ups = self.discovery.told().into_iter().filter(|t| t.proxy == i && t.at > notified);
                 let back = ups.filter(|t| t.hosts.contains(&(name.clone(), Health::Up))).map(|t| t.at).next();
                 let late = one.record().into_iter().find(|s| {
                     let its = by_id.get(s.id.as_str()) == Some(&i);
-                    its && s.at > told + GRACE && back.is_none_or(|back| s.at < back)
+                    its && s.at > notified + DRAIN_GRACE && back.is_none_or(|back| s.at < back)
                 });
                 if let Some(late) = late {
-                    let what = format!("{name} from proxy {i}, told at {told:?}: {late:?}");
+                    let what = format!("{name} from proxy {i}, told at {notified:?}: {late:?}");
                     all.push(broken("drain", Some(&late.id), what));
                 }
             }
@@ -272,17 +274,17 @@
         all
     }
 
-    /// The zone of a proxy, by its number.
+    /// Zone of proxy number `proxy`.
     pub fn zone_of(&self, proxy: usize) -> usize {
         proxy % self.config.zones.len()
     }
 
-    /// The list as discovery has it now, as proxy number `proxy` would be told.
+    /// Current list of discovery, as sent to proxy number `proxy`.
     pub fn known(&self, proxy: usize) -> Value {
         self.discovery.whole(self.zone_of(proxy))
     }
 
-    /// The configuration of a proxy, by its number, that listens there.
+    /// Configuration of proxy number `proxy` with this listen address.
     pub fn proxy_config(&self, proxy: usize, listen: SocketAddr) -> Value {
         let class = |name: &str, aim: u64, deadline: u64, effect: &str, worth: f64| {
             json!({"name": name, "promise_ns": aim * 1_000_000, "deadline_ns": deadline * 1_000_000,
@@ -315,7 +317,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        // The thread ends with its channel, and its tasks with it.
+        // Closing the channel ends the thread and its tasks.
         let (spawn, _) = mpsc::unbounded_channel();
         self.spawn = spawn;
         if let Some(thread) = self.thread.take() {
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Zones, the way between them, and cuts.
+//! Network between zones: delays and partitions.
 
 use std::time::Duration;
 use tokio::sync::watch;
@@ -12,18 +12,18 @@
 }
 
 impl Network {
-    /// All links whole.
+    /// Creates a network without partitions.
     pub fn new(zones: usize, distance: Duration) -> Self {
         let cut = (0..zones * zones).map(|_| watch::Sender::new(false)).collect();
         Network { zones, distance, cut }
     }
 
-    /// How many zones there are.
+    /// Number of zones.
     pub fn zones(&self) -> usize {
         self.zones
     }
 
-    /// One way between two zones.
+    /// One-way delay between two zones.
     pub fn distance(&self, from: usize, to: usize) -> Duration {
         if from == to {
             Duration::ZERO
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Cuts a zone off from all others, or mends that. What is under way over its links stops where it is.
+    /// Partitions a zone from all others, or ends the partition. Data in transit is delivered after the partition ends.
     pub fn cut(&self, zone: usize, cut: bool) {
         for other in (0..self.zones).filter(|z| *z != zone) {
             self.link(zone, other).send_replace(cut);
@@ -44,10 +44,10 @@
         &self.cut[from * self.zones + to]
     }
 
-    /// Waits until the link is whole.
+    /// Waits until the link is not cut.
     pub async fn whole(&self, from: usize, to: usize) {
         let mut cut = self.link(from, to).subscribe();
-        // The sender lives as long as the network.
+        // The wait cannot fail: the sender lives as long as the network.
         let _ = cut.wait_for(|cut| !cut).await;
     }
 }
--- a/crates/testkit/src/world/origin.rs
+++ b/crates/testkit/src/world/origin.rs
@@ -1,4 +1,4 @@
-//! The slow origin that all boxes share, and the effects of writes.
+//! The slow origin shared by all boxes, with a record of the effects of writes.
 
 use super::{lock, Clock};
 use std::collections::HashMap;
@@ -6,122 +6,123 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// Fetches that wait at once before more are turned away.
-const QUEUE: usize = 2_000;
-/// A repeat of a keyed write is dropped for so long.
-const WINDOW: Duration = Duration::from_secs(1);
+/// Maximum number of waiting or active requests; further ones are rejected.
+const MAX_WAITING_REQUESTS: usize = 2_000;
+/// How long a repeated write with the same idempotency key has no effect.
+const DEDUP_WINDOW: Duration = Duration::from_secs(1);
 
-/// The keys that a box keeps, each with the version of its record.
+/// Keys cached by a box, each with the version of its record.
 pub type Cache = Arc<Mutex<HashMap<u64, u64>>>;
 
 #[derive(Debug, Default)]
-struct Books {
+struct State {
     versions: HashMap<u64, u64>,
-    /// By idempotency key: when it took effect last, and how often it did.
+    /// Time of the last effect and number of effects by idempotency key.
     effects: HashMap<String, (Duration, u32)>,
     fetches: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
-/// The origin.
+/// The origin of all cached records.
 #[derive(Debug)]
 pub struct Origin {
     clock: Clock,
-    places: Semaphore,
-    takes: Duration,
+    slots: Semaphore,
+    processing_time: Duration,
     stopped: tokio::sync::watch::Sender<bool>,
     waiting: std::sync::atomic::AtomicUsize,
     caches: Mutex<Vec<Cache>>,
-    books: Mutex<Books>,
+    state: Mutex<State>,
 }
 
 impl Origin {
-    /// Works on so many fetches at once, each of which takes so long.
-    pub fn new(clock: Clock, places: usize, takes: Duration) -> Self {
+    /// Creates an origin that processes `slots` requests concurrently, each in the time `processing_time`.
+    pub fn new(clock: Clock, slots: usize, processing_time: Duration) -> Self {
         Origin {
             clock,
-            places: Semaphore::new(places),
-            takes,
+            slots: Semaphore::new(slots),
+            processing_time,
             stopped: tokio::sync::watch::Sender::new(false),
             waiting: 0.into(),
             caches: Mutex::default(),
-            books: Mutex::default(),
+            state: Mutex::default(),
         }
     }
 
-    /// The caches that a write empties of its key.
+    /// Sets the caches in which a write invalidates its key.
     pub fn caches(&self, caches: Vec<Cache>) {
         *lock(&self.caches) = caches;
     }
 
-    /// Stops it, or has it go on.
+    /// Stops or resumes processing.
     pub fn stop(&self, stopped: bool) {
         self.stopped.send_replace(stopped);
     }
 
-    /// Waits for a place and for the work; false if too many wait.
+    /// Waits for a free slot and for the processing time; returns false if too many requests are waiting.
     async fn work(&self) -> bool {
         use std::sync::atomic::Ordering::Relaxed;
-        if self.waiting.load(Relaxed) >= QUEUE {
-            lock(&self.books).turned_away += 1;
+        if self.waiting.load(Relaxed) >= MAX_WAITING_REQUESTS {
+            lock(&self.state).rejected += 1;
             return false;
         }
         self.waiting.fetch_add(1, Relaxed);
-        let left = Waiting(&self.waiting);
-        let place = self.places.acquire().await;
+        let waiting = WaitingRequest(&self.waiting);
+        let slot = self.slots.acquire().await;
         let _ = self.stopped.subscribe().wait_for(|s| !s).await;
-        tokio::time::sleep(self.takes).await;
-        drop((place, left));
+        tokio::time::sleep(self.processing_time).await;
+        drop((slot, waiting));
         true
     }
 
-    /// The version of a key's record; nothing where the origin fails.
+    /// Returns the version of a key's record; `None` if the request is rejected.
     pub async fn fetch(&self, key: u64) -> Option<u64> {
         if !self.work().await {
             return None;
         }
-        let mut books = lock(&self.books);
-        books.fetches += 1;
-        Some(books.versions.get(&key).copied().unwrap_or(0))
+        let mut state = lock(&self.state);
+        state.fetches += 1;
+        Some(state.versions.get(&key).copied().unwrap_or(0))
     }
 
-    /// Writes; a repeat within the window has no effect. The version, or nothing where the origin fails.
+    /// Writes a key and returns its version; `None` if the request is rejected. A repeat within the deduplication window
+    /// has no effect.
     pub async fn write(&self, key: u64, idempotency: &str) -> Option<u64> {
         if !self.work().await {
             return None;
         }
         let now = self.clock.now();
-        let mut books = lock(&self.books);
-        let version = books.versions.get(&key).copied().unwrap_or(0);
-        let effect = books.effects.entry(idempotency.to_owned()).or_insert((Duration::ZERO, 0));
-        if effect.1 > 0 && now < effect.0 + WINDOW {
+        let mut state = lock(&self.state);
+        let version = state.versions.get(&key).copied().unwrap_or(0);
+        let effect = state.effects.entry(idempotency.to_owned()).or_insert((Duration::ZERO, 0));
+        if effect.1 > 0 && now < effect.0 + DEDUP_WINDOW {
             return Some(version);
         }
         *effect = (now, effect.1 + 1);
-        books.versions.insert(key, version + 1);
-        drop(books);
+        state.versions.insert(key, version + 1);
+        drop(state);
         lock(&self.caches).iter().for_each(|c| {
             lock(c).remove(&key);
         });
         Some(version + 1)
     }
 
-    /// How often each idempotency key took effect.
+    /// Returns the number of effects of each idempotency key.
     pub fn effects(&self) -> HashMap<String, u32> {
-        lock(&self.books).effects.iter().map(|(k, (_, n))| (k.clone(), *n)).collect()
+        lock(&self.state).effects.iter().map(|(k, (_, n))| (k.clone(), *n)).collect()
     }
 
-    /// Fetches served, and requests turned away.
+    /// Returns the numbers of served fetches and of rejected requests.
     pub fn counts(&self) -> (u64, u64) {
-        let books = lock(&self.books);
-        (books.fetches, books.turned_away)
+        let state = lock(&self.state);
+        (state.fetches, state.rejected)
     }
 }
 
-/// Counts itself out when it is dropped, also where its request is called off.
-struct Waiting<'a>(&'a std::sync::atomic::AtomicUsize);
+/// Decrements the number of waiting requests on drop, also when the request is cancelled.
+struct WaitingRequest<'a>(&'a std::sync::atomic::AtomicUsize);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
