--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ShadowCommand {
-    /// Starts copying. The agent renews a short lease, so that copying stops if the agent dies.
+    /// Starts copying. The agent renews a short lease, so that copying stops if the agent exits.
     Start {
         /// Generation of this command, which must increase with each command.
         generation: u64,
@@ -128,7 +128,7 @@
     },
 }
 
-/// Shadow traffic whose lease the agent renews. It is not journaled, so it stops when the agent dies.
+/// Shadow traffic whose lease the agent renews. It is not journaled, so it stops when the agent exits.
 struct ShadowLease {
     generation: u64,
     ends_at: Instant,
@@ -778,7 +778,7 @@
     responses
 }
 
-/// Kills the agent with SIGKILL after as many calls as `TRESTLE_AGENT_DIES` says, for tests.
+/// Kills the agent with SIGKILL after the number of calls given in `TRESTLE_AGENT_DIES`, for tests of crash recovery.
 fn crash_point() {
     use std::sync::atomic::{AtomicI64, Ordering};
     use std::sync::OnceLock;
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -33,7 +33,7 @@
 pub type ControlRequest = (Op, oneshot::Sender<Result<Answer, Error>>);
 
 /// Keeps a connection open, and reconnects, until `requests` is closed. Events are passed to `notify`, which returns
-/// false when there is no receiver any more.
+/// false when there is no receiver left.
 pub async fn maintain(
     path: PathBuf,
     mut requests: mpsc::Receiver<ControlRequest>,
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -102,7 +102,8 @@
     Pid::from_raw(pid as i32).ok_or_else(|| io::Error::other("not a valid process id"))
 }
 
-/// Returns the instance and incarnation of a process, or `None` if it does not belong to this agent.
+/// Returns the instance and incarnation of a process, or `None` if no agent of this directory started it. Both are
+/// in the environment of the process, so that a restarted agent finds its processes again.
 fn read_environment(pid: u32, agent_dir: &Path) -> Option<(String, u64)> {
     let text = fs::read(format!("/proc/{pid}/environ")).ok()?;
     let get = |variable: &str| {
--- a/crates/ctl/src/shadow.rs
+++ b/crates/ctl/src/shadow.rs
@@ -140,6 +140,7 @@
     }
 }
 
+/// One line on the shadow traffic of an instance: its state, counts and verdict, or why they are not available.
 fn status_text(status: &InstanceStatus) -> String {
     match &status.copying {
         Ok(copying) => {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,7 +24,7 @@
 const INITIAL_BACKOFF_MS: Millis = 500;
 /// Maximum delay before a restart.
 const MAX_BACKOFF_MS: Millis = 30_000;
-/// Time that an instance must stay ready until its crashes are forgotten.
+/// Time that an instance must stay ready until its count of consecutive crashes is reset.
 const CRASH_RESET_MS: Millis = 60_000;
 const MAX_BOX_NAME_BYTES: usize = 128;
 
@@ -414,7 +414,8 @@
         };
         let outdated =
             incarnation != intent.incarnation || observed.restart_required_for == Some(intent.generation);
-        // A process that is neither reachable nor ready in time is restarted.
+        // A process that is neither connected nor ready in time is late; one that has not reported either is taken to
+        // hang and is restarted.
         let late = observed.ready_since.is_none()
             && !intent.drained
             && !observed.connected
--- a/crates/fleet/src/rollout.rs
+++ b/crates/fleet/src/rollout.rs
@@ -81,7 +81,7 @@
     }
 
     /// Rolls changed instances back to their previous configuration. The incarnation is kept, so that aborting a
-    /// restart restarts nothing again.
+    /// restart does not restart the instances again.
     pub(crate) fn abort_rollout(&mut self) {
         let Some(rollout) = &mut self.plan.rollout else { return };
         rollout.state = RolloutState::RollingBack;
--- a/crates/proxy/src/boxes/idle.rs
+++ b/crates/proxy/src/boxes/idle.rs
@@ -46,10 +46,13 @@
         class.map_or(configured, |c| configured.min(Self::FIRST_CLASS << c))
     }
 
-    /// Decays the counts by the time that has elapsed.
+    /// Decays the counts exponentially by the time that has elapsed, so that old outcomes lose weight and an excluded
+    /// idle time may be used again.
     pub fn decay(&mut self, elapsed: Nanos) {
-        let keep = (-(elapsed as f64) / (Self::DECAY_SECONDS * 1_000.0 * MS as f64)).exp();
-        self.classes.iter_mut().for_each(|(used, broken)| (*used, *broken) = (*used * keep, *broken * keep));
+        let factor = (-(elapsed as f64) / (Self::DECAY_SECONDS * 1_000.0 * MS as f64)).exp();
+        self.classes
+            .iter_mut()
+            .for_each(|(used, broken)| (*used, *broken) = (*used * factor, *broken * factor));
     }
 }
 
--- a/crates/proxy/src/boxes/membership.rs
+++ b/crates/proxy/src/boxes/membership.rs
@@ -57,7 +57,7 @@
         self.forget_removed();
     }
 
-    /// Forgets the removed nodes that have no connection left.
+    /// Discards the removed nodes that have no connection left.
     pub(super) fn forget_removed(&mut self) {
         let removed_stats = &mut self.removed_stats;
         self.nodes.retain(|_, node| {
--- a/crates/proxy/src/boxes/mod.rs
+++ b/crates/proxy/src/boxes/mod.rs
@@ -1,7 +1,7 @@
 //! Cache nodes: their addresses, the connections to each, and the attempts on those.
 //!
 //! A connection carries attempts in order. An attempt is checked when it is about to be written. Once its last byte is
-//! written it may have run, whatever happens to the connection afterwards.
+//! written the node may have executed it, even if the connection fails afterwards.
 
 mod close;
 mod connection;
@@ -46,7 +46,7 @@
 /// The same for a long value. It is longer, since the client already has the first bytes and can't be given them a
 /// second time.
 const LONG_VALUE_STALL_TIMEOUT: Nanos = 5_000 * MS;
-/// The most that the write buffer of an idle connection keeps allocated.
+/// The maximum capacity that the write buffer of an idle connection keeps allocated.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 << 10;
 /// The most time by which one sweep decays the idle-time statistics.
 const MAX_DECAY_PER_SWEEP: Nanos = 1_000 * MS;
@@ -233,7 +233,7 @@
     }
 
     /// Closes connections that have been idle too long or have stalled within a reply. A stall comes from a reply that
-    /// is shorter than it states or has no end, or from a node that dies while it writes.
+    /// is shorter than it states or has no end, or from a node that fails while it writes.
     pub fn sweep(&mut self, now: Nanos) {
         let elapsed =
             now.saturating_sub(std::mem::replace(&mut self.last_sweep, now)).min(MAX_DECAY_PER_SWEEP);
--- a/crates/proxy/src/boxes/node.rs
+++ b/crates/proxy/src/boxes/node.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records that a `HELLO` got no answer before the request behind it timed out. A node that has stopped
-    /// responding does not answer `HELLO` either, so a single one proves nothing.
+    /// responding does not answer `HELLO` either, so a single one does not show that the node lacks RESP3.
     pub fn record_unanswered_hello(&mut self) {
         self.unanswered_hellos += 1;
         if self.unanswered_hellos >= MAX_UNANSWERED_HELLOS {
--- a/crates/proxy/src/boxes/placement.rs
+++ b/crates/proxy/src/boxes/placement.rs
@@ -65,7 +65,7 @@
         now: Nanos,
     ) -> Option<(usize, Option<NewConnection>)> {
         let node = self.nodes.get(&server)?;
-        // A connection that streams a long value goes at its client's pace and carries nothing else meanwhile. Up to
+        // A connection that streams a long value is as slow as its client and carries no other attempt meanwhile. Up to
         // `max_per_node` of them do not count against the limit.
         let streaming = |key: &&usize| self.connections.get(**key).is_some_and(|c| c.streaming);
         let streaming = node.connections.iter().filter(streaming).count().min(self.max_per_node);
@@ -87,6 +87,8 @@
         LatencyContext { this_box: node.latencies(), all_boxes: &self.latencies }
     }
 
+    /// Selects one of the node's connections for an attempt, a new one if `may_open`, or none. With a required
+    /// address, only connections that can carry an attempt for that address are candidates.
     fn choose(
         &self,
         node: &Node,
--- a/crates/proxy/src/boxes/read.rs
+++ b/crates/proxy/src/boxes/read.rs
@@ -10,7 +10,8 @@
 const MAX_READS_PER_TURN: usize = 4;
 
 impl Boxes {
-    /// Whether some connection may have unread input that causes no further readiness event.
+    /// Whether some connection may have unread input that causes no further readiness event, so that it has to be read
+    /// again without waiting for one.
     pub fn has_unread_input(&self) -> bool {
         !self.unread.is_empty()
     }
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Closes a connection that streams a long value which no client waits for any more.
+    /// Closes a connection that streams a long value for which no client waits.
     pub fn stop_streaming(&mut self, key: usize, id: RequestId) {
         if self.streaming_connection(key, id).is_some() {
             self.close(key);
--- a/crates/proxy/src/boxes/write.rs
+++ b/crates/proxy/src/boxes/write.rs
@@ -66,7 +66,7 @@
     fn check_and_flush(&mut self, key: usize, now: Nanos) {
         let Some(c) = self.connections.get_mut(key).filter(|c| c.ready_at <= now) else { return };
         if !std::mem::take(&mut c.write_queued) {
-            // The key belongs to another connection by now, or the batch has already been written.
+            // The key has been reused for another connection, or the batch has already been written.
             return;
         }
         if c.pipeline.in_flight() > 0
--- a/crates/proxy/src/front/admin.rs
+++ b/crates/proxy/src/front/admin.rs
@@ -17,7 +17,7 @@
 pub const MAX_CALLERS: usize = 16;
 /// The maximum length of a command line.
 const MAX_LINE_BYTES: usize = 128;
-/// How long after it was accepted a connection is closed, whatever its caller does.
+/// Time after its acceptance at which a connection is closed, even if it is in use.
 const CALL_TIMEOUT: Nanos = 5_000 * MS;
 /// The maximum number of connections accepted in an iteration of the event loop.
 const MAX_ACCEPTS: usize = 8;
--- a/crates/proxy/src/front/clients.rs
+++ b/crates/proxy/src/front/clients.rs
@@ -33,7 +33,7 @@
 const UNREAD_SHARE_DIVISOR: usize = 4;
 /// ... and up to this many bytes.
 const MAX_UNREAD_SHARE_BYTES: usize = 1 << 20;
-/// How long a client may read nothing of its answers before it is disconnected.
+/// Time without reading any of its answers after which a client is disconnected.
 const STALL_TIMEOUT: Nanos = 5_000 * MS;
 /// How long a client may be silent between requests.
 const IDLE_TIMEOUT: Nanos = 10_000 * MS;
@@ -106,7 +106,7 @@
     partial_since: Option<Nanos>,
     /// When it last sent bytes or read bytes of its answers.
     active_at: Nanos,
-    /// Since when its socket has accepted no more of the answers.
+    /// Since when its socket has accepted no bytes of the answers.
     blocked_since: Option<Nanos>,
     /// When it connected; `None` once it has sent a valid command.
     awaiting_first_command_since: Option<Nanos>,
@@ -258,7 +258,7 @@
         self.clients.len() < self.max_clients || self.clients.iter().any(|(_, c)| c.is_idle())
     }
 
-    /// Notes that the listener has connections to accept.
+    /// Records that the listener has connections to accept.
     pub fn listener_ready(&mut self) {
         self.accepting = true;
     }
@@ -438,7 +438,7 @@
                 Err(e) => {
                     let error = format!("-ERR Protocol error: {}\r\n", e.0);
                     client.closing = true;
-                    self.answer_last(key, error.as_bytes());
+                    self.answer_directly(key, error.as_bytes());
                     return;
                 }
             }
@@ -471,7 +471,7 @@
             }
             client.closing |= answer.close;
             self.wrong_passwords += u64::from(answer.wrong_password);
-            self.answer_last(key, &answer.bytes);
+            self.answer_directly(key, &answer.bytes);
             return;
         }
         let is_complete = command.is_complete();
@@ -482,7 +482,7 @@
             // Nothing has been done for the command yet, so refusing it is safe.
             Ok(query) if !is_complete || client.slots.len() >= self.max_open_commands => {
                 self.events.push_back(ClientEvent::Rejected(query.class));
-                self.answer_last(key, BUSY_REPLY);
+                self.answer_directly(key, BUSY_REPLY);
             }
             Ok(query) => {
                 let reply_slot =
@@ -494,12 +494,13 @@
                     (None, (client.request_count + 1).min(2));
                 self.events.push_back(ClientEvent::Query(id, reply_slot, Rc::new(query)));
             }
-            Err(answer) => self.answer_last(key, answer.as_bytes()),
+            Err(answer) => self.answer_directly(key, answer.as_bytes()),
         }
     }
 
-    /// Answers the last parsed command without making it a request.
-    fn answer_last(&mut self, key: usize, answer: &[u8]) {
+    /// Answers the last parsed command without making it a request. Disconnects a client that has pipelined too many
+    /// commands.
+    fn answer_directly(&mut self, key: usize, answer: &[u8]) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.slots.len() >= SLOTS_PER_OPEN_COMMAND * self.max_open_commands {
             self.remove(key);
@@ -748,7 +749,7 @@
             if let Some(client) = self.clients.get_mut(key) {
                 client.closing = true;
             }
-            self.answer_last(key, b"-ERR Protocol error: the command took too long\r\n");
+            self.answer_directly(key, b"-ERR Protocol error: the command took too long\r\n");
         }
     }
 
--- a/crates/proxy/src/front/control.rs
+++ b/crates/proxy/src/front/control.rs
@@ -78,14 +78,14 @@
         match State::decode(&text) {
             Ok(state) => Ok(PersistentState { path: Some(path), state }),
             Err(reason) => {
-                let advice = "mend it, or remove it to start with nothing drained";
+                let advice = "repair the file, or remove it to start without drained boxes";
                 Err(StartError::State(path, format!("{reason}; {advice}")))
             }
         }
     }
 
-    /// Stores a state and, if that succeeds, puts it in force. A process that dies at any point leaves either the old
-    /// file or the new one. The file is not synced, so a crash of the machine may lose the change.
+    /// Stores a state and, if that succeeds, puts it in force. A process that is killed at any point leaves either the
+    /// old file or the new one. The file is not synced, so a crash of the machine may lose the change.
     ///
     /// # Errors
     /// The file can't be written; nothing has changed.
@@ -131,7 +131,7 @@
     has_sent_request: bool,
     /// Since when a frame has been incomplete.
     partial_since: Option<Nanos>,
-    /// Since when the socket has accepted no more of the output.
+    /// Since when the socket has accepted no bytes of the output.
     blocked_since: Option<Nanos>,
     watch: Option<Watch>,
     /// It is disconnected once all output is written.
--- a/crates/proxy/src/front/operate.rs
+++ b/crates/proxy/src/front/operate.rs
@@ -77,7 +77,7 @@
 
     fn execute_op(&mut self, op: Op) -> Result<Answer, Error> {
         if self.terminating_since.is_some() && requires_running_proxy(&op) {
-            return Err(Error::new(Code::Stopping, "the instance has been told to end; nothing changed"));
+            return Err(Error::new(Code::Stopping, "the instance is terminating; nothing changed"));
         }
         let state = &self.persisted.state;
         match op {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -261,7 +261,7 @@
     }
 
     /// Reads from cache nodes. The clock is read again for each socket: an iteration may take long where a core is
-    /// shared, and waiting times would be measured too short.
+    /// shared, and with a single reading the waiting times would come out too short.
     fn read_nodes(&mut self, events: &Events) {
         for key in self.boxes.take_unread() {
             self.boxes.ready(key, true, &mut self.buffer, self.event_loop.now);
@@ -416,8 +416,8 @@
         }
     }
 
-    /// Moves discovery to the configured address. The new discovery service is asked for its complete list, because
-    /// versions of one service mean nothing to another.
+    /// Moves discovery to the configured address. The complete list is requested from the new discovery service,
+    /// because the versions of two services are not comparable.
     fn discovery_address_changed(&mut self) {
         self.discovery.change_address(self.config.discovery, self.event_loop.now);
         self.discovery_failed = false;
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -16,19 +16,19 @@
 
     pub(crate) fn handle_client_event(&mut self, event: clients::ClientEvent) {
         match event {
-            clients::ClientEvent::Query(id, slot, query) => self.arrive(id, slot, query),
+            clients::ClientEvent::Query(id, slot, query) => self.start_request(id, slot, query),
             clients::ClientEvent::Rejected(class) => {
                 self.observers.notify(Notification::Arrived);
                 self.observers.notify(Notification::Answered(FinalResult::Refused, class));
             }
-            clients::ClientEvent::HalfClosed(id) => self.client_left(id),
+            clients::ClientEvent::HalfClosed(id) => self.client_half_closed(id),
             clients::ClientEvent::ReadyForMore(id) => self.resume_stream(id),
-            clients::ClientEvent::Disconnected(id) => self.client_gone(id),
+            clients::ClientEvent::Disconnected(id) => self.client_disconnected(id),
         }
     }
 
     /// Leads a request through the gates to the balancer.
-    fn arrive(&mut self, id: RequestId, slot: ReplySlot, query: Rc<Query>) {
+    fn start_request(&mut self, id: RequestId, slot: ReplySlot, query: Rc<Query>) {
         self.observers.notify(Notification::Arrived);
         let class = query.class;
         if query.write {
@@ -240,16 +240,16 @@
         }
     }
 
-    /// Handles a client that has shut down its sending side. It may still be waiting for the answer, or may have left
-    /// and want nothing more done. Open attempts are therefore left to finish, and no further one is sent.
-    fn client_left(&mut self, id: RequestId) {
-        if self.requests.mark_client_left(id) {
+    /// Handles a client that has shut down its sending side. It may still be waiting for the answer, or may have
+    /// abandoned the request. Open attempts are therefore left to finish, and no further one is sent.
+    fn client_half_closed(&mut self, id: RequestId) {
+        if self.requests.mark_half_closed(id) {
             self.pending_events.push_back(Event::Abandoned(id));
         }
     }
 
     /// Cancels and retires a request whose client has disconnected.
-    fn client_gone(&mut self, id: RequestId) {
+    fn client_disconnected(&mut self, id: RequestId) {
         self.cancel_stream(id);
         if self.requests.mark_answered(id).is_none() {
             return;
--- a/crates/proxy/src/platform/discovery.rs
+++ b/crates/proxy/src/platform/discovery.rs
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Switches to discovery at another address. Polls in flight are dropped. Versions of one discovery mean nothing to
-    /// another, so the next poll requests the full list.
+    /// Switches to discovery at another address. Polls in flight are dropped. The versions of two discovery
+    /// services are not comparable, so the next poll requests the full list.
     pub fn change_address(&mut self, address: SocketAddr, now: Nanos) {
         (self.address, self.version, self.older_lists, self.latest) = (address, None, 0, None);
         self.replaced.clear();
@@ -278,7 +278,8 @@
         Ok(())
     }
 
-    /// Connects to discovery with a request ready to be written.
+    /// Starts a connection to discovery and prepares the request: for the updates since the known list version, or
+    /// for the full list. With `wait` it is a long poll, which discovery may hold for that time until the list changes.
     fn open_poll(&self, registry: &Registry, wait: Option<Nanos>, now: Nanos) -> Result<Poll, ListError> {
         let in_use =
             |token: &Token| self.replaced.iter().chain(&self.latest).any(|poll| poll.token == *token);
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -112,7 +112,7 @@
         if keyed && !has_dedup_key {
             return Err("-ERR k is missing\r\n");
         }
-        // Whatever the client asks for, it waits no longer than its class allows, which bounds how long state is kept.
+        // The timeout stated by the client is capped at its class's maximum, which bounds how long state is kept.
         let timeout = timeout.min(config.settings.classes.get(class).map_or(0, |c| c.deadline));
         let name = std::str::from_utf8(command.arg(1)).unwrap_or_default();
         let hex = if name.len() <= 16 { u64::from_str_radix(name, 16).ok() } else { None };
@@ -171,7 +171,7 @@
     }
 }
 
-/// Where a request's answer belongs among the answers on a client's connection.
+/// The position of a request's answer among the answers on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplySlot {
     /// The connection.
@@ -231,8 +231,9 @@
     attempts_started: u32,
     open_attempts: Vec<Attempt>,
     answered: bool,
-    /// The client sends nothing more, and the balancer knows; an open attempt may still answer the request.
-    client_left: bool,
+    /// The client has shut down its sending side, and the balancer was notified; an open attempt may still answer the
+    /// request.
+    client_half_closed: bool,
 }
 
 /// An attempt that was just started.
@@ -268,7 +269,7 @@
     }
 
     /// Adds a request that may have arrived as early as `arrived`. Returns the event for the balancer and the
-    /// request's deadline, or nothing if another open request has the same id: cache nodes would treat a second
+    /// request's deadline, or `None` if another open request has the same id: cache nodes would treat a second
     /// request under an open id as a copy of the first.
     pub fn insert(
         &mut self,
@@ -300,13 +301,13 @@
             attempts_started: 0,
             open_attempts: Vec::new(),
             answered: false,
-            client_left: false,
+            client_half_closed: false,
         };
         self.open.insert(id, open);
         Some((request, deadline))
     }
 
-    /// Starts an attempt; returns nothing if the request is not open.
+    /// Starts an attempt; returns `None` if the request is not open.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
@@ -319,7 +320,7 @@
         open.attempts_started += 1;
         open.open_attempts.push(Attempt { number, server, sent: now, connection: None });
         let must_not_send =
-            open.answered || open.client_left || open.deadline <= now || number >= max_attempts;
+            open.answered || open.client_half_closed || open.deadline <= now || number >= max_attempts;
         Some(StartedAttempt { number, query: open.query.clone(), deadline: open.deadline, must_not_send })
     }
 
@@ -358,19 +359,20 @@
         self.open.get(&id).is_some_and(|o| !o.answered)
     }
 
-    /// Records that the client sends nothing more, so that no attempt is sent for the request. Returns false if the
-    /// request is already answered or not open.
-    pub fn mark_client_left(&mut self, id: RequestId) -> bool {
+    /// Records that the client has shut down its sending side, so that no attempt is sent for the request. Returns
+    /// false if the request is already answered or not open.
+    pub fn mark_half_closed(&mut self, id: RequestId) -> bool {
         let open = self.open.get_mut(&id).filter(|o| !o.answered);
-        open.map(|o| o.client_left = true).is_some()
+        open.map(|o| o.client_half_closed = true).is_some()
     }
 
-    /// True if the request is unanswered, its client has left, and no attempt is open that could answer it.
+    /// True if the request is unanswered, its client has shut down its sending side, and no attempt is open that
+    /// could answer it.
     pub fn is_orphaned(&self, id: RequestId) -> bool {
-        self.open.get(&id).is_some_and(|o| !o.answered && o.client_left && o.open_attempts.is_empty())
+        self.open.get(&id).is_some_and(|o| !o.answered && o.client_half_closed && o.open_attempts.is_empty())
     }
 
-    /// Marks a request as answered. Returns where the answer goes and the request's class, or nothing if it was
+    /// Marks a request as answered. Returns where the answer goes and the request's class, or `None` if it was
     /// answered before.
     pub fn mark_answered(&mut self, id: RequestId) -> Option<(ReplySlot, u32)> {
         let open = self.open.get_mut(&id).filter(|o| !o.answered)?;
@@ -415,7 +417,7 @@
         assert_eq!(table.attempt(1, 0).and_then(|a| a.connection), Some(5));
         assert_eq!(table.mark_answered(1), Some((slot, 0)));
         assert_eq!(table.mark_answered(1), None);
-        assert!(!table.mark_client_left(1) && !table.is_unanswered(1) && !table.is_orphaned(1));
+        assert!(!table.mark_half_closed(1) && !table.is_unanswered(1) && !table.is_orphaned(1));
         assert!(table.start_attempt(1, 7, 2, MS).is_some_and(|a| a.must_not_send));
         table.retire(1);
         assert_eq!((table.len(), table.unanswered(), table.open_attempts(1)), (1, 0, vec![0, 1]));
@@ -436,7 +438,7 @@
         let start = |max_attempts: u32, now: Nanos, left: bool| {
             let mut table = RequestTable::default();
             table.insert(1, slot, query(&config), 0, 0).expect("accepted");
-            assert!(!left || table.mark_client_left(1));
+            assert!(!left || table.mark_half_closed(1));
             let must_not_send = table.start_attempt(1, 7, max_attempts, now).expect("started").must_not_send;
             assert!(!table.is_orphaned(1) && table.end_attempt(1, 0).is_some());
             (must_not_send, table.is_orphaned(1))
--- a/crates/proxy/src/shadow_traffic.rs
+++ b/crates/proxy/src/shadow_traffic.rs
@@ -28,7 +28,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection that carried nothing for this long is closed.
+/// A connection that has been idle for this long is closed.
 const IDLE_TIMEOUT: Nanos = 10_000 * MS;
 /// How much longer than its value an answer may be: note, load report and framing.
 const MAX_ANSWER_OVERHEAD_BYTES: usize = 4 << 10;
@@ -159,7 +159,7 @@
     connections: Slab<Connection>,
     max_connections: usize,
     max_value_bytes: usize,
-    /// Copies chosen in this iteration of the event loop, to be sent at its end.
+    /// Copies selected in this iteration of the event loop, to be sent at its end.
     pending: Vec<(Copy, Rc<Query>)>,
     /// The prefix of the request ids of copies, unique to this process among all proxies and their restarts.
     id_prefix: String,
@@ -168,7 +168,7 @@
 }
 
 impl ShadowTraffic {
-    /// Nothing is copied until copying is started.
+    /// Creates the copying of reads in the kept state; no read is copied until copying is started.
     pub fn new(
         operator: &operator::Shadow,
         settings: Settings,
@@ -217,11 +217,11 @@
         let wanted =
             self.shadow.wants(query.class, query.tenant, query.key) && value.len() <= self.max_value_bytes;
         let live = if wanted { Side::Value(Digest::of(value)) } else { Side::Error };
-        self.choose_copy(query, live, value.len(), reply.hit(), took, now);
+        self.offer_copy(query, live, value.len(), reply.hit(), took, now);
     }
 
-    /// Offers a served read for copying, and queues the copy if it is chosen.
-    fn choose_copy(
+    /// Offers a served read for copying, and queues the copy if it is selected.
+    fn offer_copy(
         &mut self,
         query: &Rc<Query>,
         live: Side,
@@ -236,11 +236,11 @@
         }
     }
 
-    /// Sends the chosen copies and sets their time-outs.
+    /// Sends the selected copies and sets their time-outs.
     fn send_pending(&mut self, registry: &Registry, timers: &mut Timers, now: Nanos) {
         for (copy, query) in std::mem::take(&mut self.pending) {
             let Some(key) = self.idle_connection(copy.candidate, registry, now) else {
-                self.copy_ended(copy.number, Side::Error, None, 0, now);
+                self.finish_copy(copy.number, Side::Error, None, 0, now);
                 continue;
             };
             let connection = &mut self.connections[key];
@@ -329,7 +329,8 @@
         }
     }
 
-    /// Handles input on a connection.
+    /// Handles input on a connection. A complete answer ends the copy; its time counts from the end of
+    /// writing the command.
     fn receive(&mut self, key: usize, input: &[u8], now: Nanos) {
         let Some(c) = self.connections.get_mut(key) else { return };
         let max_bytes = self.max_value_bytes + MAX_ANSWER_OVERHEAD_BYTES;
@@ -340,6 +341,7 @@
         };
         c.reply_bytes.extend_from_slice(input);
         let Ok((used, reply)) = c.parser.feed(input) else { return self.close(key, Side::Error, now) };
+        // A long value arrives in parts, which are not compared.
         let is_long = c.parser.take_part(reply.as_ref()).is_some();
         let Some(reply) = reply else { return };
         let value = c.reply_bytes.get(reply.value.clone()).unwrap_or_default();
@@ -355,17 +357,17 @@
         if is_long || used < input.len() {
             self.connections.remove(key);
         }
-        self.copy_ended(number, side, reply.hit(), now.saturating_sub(written_at), now);
+        self.finish_copy(number, side, reply.hit(), now.saturating_sub(written_at), now);
     }
 
     /// Closes a connection. The copy that it carried, if any, ends with this result.
     fn close(&mut self, key: usize, side: Side, now: Nanos) {
         if let Some((number, _)) = self.connections.try_remove(key).and_then(|c| c.copy) {
-            self.copy_ended(number, side, None, 0, now);
+            self.finish_copy(number, side, None, 0, now);
         }
     }
 
-    fn copy_ended(&mut self, number: u64, side: Side, hit: Option<bool>, took: Nanos, now: Nanos) {
+    fn finish_copy(&mut self, number: u64, side: Side, hit: Option<bool>, took: Nanos, now: Nanos) {
         let cancelled = self.shadow.ended(number, Ended { side, hit, took }, now);
         self.cancel(&cancelled);
     }
@@ -509,11 +511,11 @@
     pub(crate) fn shadow_long_value(&mut self, query: &Rc<Query>, length: usize) {
         if let Some(shadow_traffic) = self.shadow_traffic.as_mut().filter(|_| !query.write) {
             let length = length.max(shadow_traffic.max_value_bytes + 1);
-            shadow_traffic.choose_copy(query, Side::Error, length, None, None, self.event_loop.now);
+            shadow_traffic.offer_copy(query, Side::Error, length, None, None, self.event_loop.now);
         }
     }
 
-    /// Reads answers from candidates and sends the chosen copies, at the end of an iteration of the event loop.
+    /// Reads answers from candidates and sends the selected copies, at the end of an iteration of the event loop.
     pub(crate) fn run_shadow_traffic(&mut self, events: &Events) {
         let Some(shadow_traffic) = &mut self.shadow_traffic else { return };
         let ready_connections = || {
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -1,5 +1,5 @@
-//! Streaming of long values from a cache node to the client. The request counts as answered once the value's first part
-//! has gone to its client: from then on it is over for the balancer, and no other answer can replace it.
+//! Streaming of long values from a cache node to the client. The request counts as answered once the first part of the
+//! value has been passed to the client: the balancer then treats it as complete, and no other answer can replace it.
 //!
 //! Streaming bounds memory for values of any length: no more is read from the node than the client accepts, so that a
 //! slow client holds up the node through TCP flow control. When a value breaks off, the client's connection has to be
--- a/crates/proxy/src/timers.rs
+++ b/crates/proxy/src/timers.rs
@@ -7,9 +7,9 @@
 /// What to do when a timer expires. Timers that expire at the same time fire in the order of this enumeration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerEvent {
-    /// A timer that the balancer asked for, by its token.
+    /// A timer requested by the balancer, by its token.
     Balancer(u64),
-    /// The client's time for a request is up.
+    /// The deadline of a request has passed.
     RequestDeadline(RequestId),
     /// An attempt's own time-out, shorter than the request's deadline.
     AttemptTimeout(RequestId, u32),
@@ -25,8 +25,8 @@
     ResumeAccept,
 }
 
-/// Timers ordered by expiry. They cannot be cancelled: whoever handles an event ignores it if it no longer applies,
-/// so the heap holds no more than was set within the longest deadline.
+/// Timers ordered by expiry. They cannot be cancelled: the handler of an event ignores one that no longer applies.
+/// The heap therefore holds at most the timers set within the longest deadline.
 #[derive(Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(Nanos, TimerEvent)>>,
