--- a/crates/model/src/boxes.rs
+++ b/crates/model/src/boxes.rs
@@ -1,4 +1,5 @@
-//! A cache box: few cores before a queue, connections that cost work, a cold ramp and a fall, a keyed cache.
+//! A cache box: a few cores with a bounded queue, connections whose handshake costs work, slow start after a restart,
+//! collapse when overloaded during slow start, and a keyed cache.
 
 use crate::random::RandomSource;
 use crate::scenario::Kind;
@@ -11,41 +12,41 @@
 /// A request at a box.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The connection that it came by, and which of its lives.
+    /// Index of the connection that carried it, and that connection's serial number.
     pub connection: usize,
     pub serial: u64,
-    /// Which of the connection's requests, from 0.
-    pub place: u64,
+    /// Position among the connection's requests, from 0.
+    pub sequence: u64,
     pub key: u64,
-    /// It writes, for this request of a client.
+    /// The client's request, if this is a write.
     pub write: Option<u64>,
     /// When it was sent.
     pub sent: Nanos,
-    /// It is a new connection's own work, and no request.
+    /// The work of a connection handshake instead of a request.
     pub handshake: bool,
 }
 
-/// An answer, as it leaves a box.
+/// An answer as it leaves a box.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     pub status: Status,
     pub hit: Option<bool>,
-    /// The request that it was made for; nothing for noise.
+    /// The request that it answers; `None` for noise.
     pub made_for: Option<u32>,
 }
 
-/// What a box sends too much.
+/// Unsolicited bytes that a box sends after answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Surplus {
-    /// With this part of its good answers.
+    /// Fraction of successful answers that are followed by unsolicited bytes.
     pub part: f64,
-    /// A copy; else noise that reads as an answer.
+    /// Whether the bytes repeat the answer; otherwise they are noise that parses as an answer.
     pub copy: bool,
-    /// In a segment of its own, so much later at the most; 0: in the same.
+    /// Maximum delay, in a segment of their own; 0 puts them in the same segment.
     pub late: Nanos,
 }
 
-/// Work that goes on.
+/// The state of a cache box.
 #[derive(Debug)]
 pub struct CacheBox {
     pub server: ServerId,
@@ -62,13 +63,13 @@
     fall: (f64, Nanos),
     pub busy: usize,
     pub waiting: VecDeque<u32>,
-    /// Connections that it holds.
+    /// Open connections.
     pub connections: usize,
-    /// Work begun, in all.
+    /// Total core time of the work started.
     pub worked: Nanos,
     pub born: Nanos,
-    /// Counts its processes: what was begun in one ends with it.
-    pub life: u32,
+    /// Incarnation of the process; work started in one ends with it.
+    pub incarnation: u32,
     pub down: bool,
     pub fallen: bool,
     pub silent: u32,
@@ -76,39 +77,39 @@
     pub resets: f64,
     pub spoils: f64,
     pub surplus: Surplus,
-    /// Its work takes ever longer: from when, until when, up to how many times.
+    /// Gradual slowdown: its start, its end, and the multiple of the work time reached at the end.
     pub slows: Option<(Nanos, Nanos, f64)>,
-    /// What came while it was silent.
+    /// Requests received while the box was silent.
     pub held: Vec<u32>,
     cache: LruCache<u64, u32>,
-    /// Fetches that are out, each with the jobs that want the key.
+    /// Fetches in progress, each with the other jobs that wait for the key.
     pub fetching: rustc_hash::FxHashMap<u64, Vec<u32>>,
     recent: VecDeque<Nanos>,
 }
 
 impl CacheBox {
-    pub fn new(server: ServerId, zone: usize, kind: usize, told: &Kind, now: Nanos, warm: bool) -> Self {
-        let cold = seconds(told.cold_s);
+    pub fn new(server: ServerId, zone: usize, kind: usize, spec: &Kind, now: Nanos, warm: bool) -> Self {
+        let cold = seconds(spec.cold_s);
         CacheBox {
             server,
             zone,
             kind,
-            cores: told.cores,
-            speed: told.speed,
-            work: [millis(told.read_ms), millis(told.write_ms)],
-            handshake: millis(told.handshake_ms),
-            spread: told.spread,
-            queue: told.queue,
-            connection_cap: told.connections,
-            cold: (told.cold_from < 1.0).then_some((told.cold_from, cold)),
-            fall: (told.fall_multiple, seconds(told.fall_s)),
+            cores: spec.cores,
+            speed: spec.speed,
+            work: [millis(spec.read_ms), millis(spec.write_ms)],
+            handshake: millis(spec.handshake_ms),
+            spread: spec.spread,
+            queue: spec.queue,
+            connection_cap: spec.connections,
+            cold: (spec.cold_from < 1.0).then_some((spec.cold_from, cold)),
+            fall: (spec.fall_multiple, seconds(spec.fall_s)),
             busy: 0,
             waiting: VecDeque::new(),
             connections: 0,
             worked: 0,
-            // One that stands since long is warm: its age is counted from before the start.
+            // A box that runs since before the start of the scenario is warm.
             born: if warm { 0 } else { now },
-            life: u32::from(!warm),
+            incarnation: u32::from(!warm),
             down: false,
             fallen: false,
             silent: 0,
@@ -118,16 +119,16 @@
             surplus: Surplus::default(),
             slows: None,
             held: Vec::new(),
-            cache: LruCache::new(NonZeroUsize::new(told.cache).unwrap_or(NonZeroUsize::MIN)),
+            cache: LruCache::new(NonZeroUsize::new(spec.cache).unwrap_or(NonZeroUsize::MIN)),
             fetching: rustc_hash::FxHashMap::default(),
             recent: VecDeque::new(),
         }
     }
 
-    /// The part of its speed that it has now.
-    pub fn warmth(&self, now: Nanos) -> f64 {
+    /// Fraction of its full speed that it has reached in slow start.
+    pub fn warm_up_fraction(&self, now: Nanos) -> f64 {
         match self.cold {
-            Some((from, warm)) if self.life > 0 => {
+            Some((from, warm)) if self.incarnation > 0 => {
                 let age = now.saturating_sub(self.born) as f64;
                 (from + (1.0 - from) * age / warm as f64).min(1.0)
             }
@@ -135,24 +136,24 @@
         }
     }
 
-    fn slowness(&self, now: Nanos) -> f64 {
+    fn slowdown(&self, now: Nanos) -> f64 {
         self.slows.map_or(1.0, |(from, until, times)| {
             let part = now.saturating_sub(from) as f64 / until.saturating_sub(from).max(1) as f64;
             1.0 + (times - 1.0) * part.min(1.0)
         })
     }
 
-    /// How long a piece of work takes that begins now.
-    pub fn takes(&self, job: &Job, now: Nanos, chance: &mut RandomSource) -> Nanos {
+    /// Duration of a piece of work that starts now.
+    pub fn work_duration(&self, job: &Job, now: Nanos, chance: &mut RandomSource) -> Nanos {
         let work = if job.handshake { self.handshake } else { self.work[usize::from(job.write.is_some())] };
-        let by_chance = if self.spread > 0.0 { 1.0 + self.spread * (2.0 * chance.unit() - 1.0) } else { 1.0 };
-        (work as f64 * by_chance * self.slowness(now) / (self.speed * self.warmth(now))) as Nanos
+        let jitter = if self.spread > 0.0 { 1.0 + self.spread * (2.0 * chance.unit() - 1.0) } else { 1.0 };
+        (work as f64 * jitter * self.slowdown(now) / (self.speed * self.warm_up_fraction(now))) as Nanos
     }
 
-    /// A request came: has the box been pushed over by it?
-    pub fn pushed_over(&mut self, now: Nanos) -> bool {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 {
+    /// Counts a request; true if the requests of the recent window overload the box during slow start.
+    pub fn is_overloaded_while_cold(&mut self, now: Nanos) -> bool {
+        let warm_up_fraction = self.warm_up_fraction(now);
+        if warm_up_fraction >= 1.0 {
             self.recent.clear();
             return false;
         }
@@ -161,16 +162,17 @@
         while self.recent.front().is_some_and(|at| at + span < now) {
             self.recent.pop_front();
         }
-        let can = self.cores as f64 * self.speed * warmth * span as f64 / self.work[0].max(1) as f64;
+        let can =
+            self.cores as f64 * self.speed * warm_up_fraction * span as f64 / self.work[0].max(1) as f64;
         self.recent.len() as f64 > multiple * can
     }
 
-    /// The part of its cores' time that was worked.
-    pub fn part(&self, span: Nanos) -> f64 {
+    /// Fraction of its cores' time spent working.
+    pub fn utilization(&self, span: Nanos) -> f64 {
         self.worked as f64 / (self.cores as f64 * span.max(1) as f64)
     }
 
-    /// Does one more find room in the queue?
+    /// Whether one more request can be started or queued.
     pub fn has_room(&self) -> bool {
         self.busy < self.cores || self.waiting.len() < self.queue
     }
@@ -179,19 +181,19 @@
         self.busy < self.cores
     }
 
-    /// Is this version of a key cached?
+    /// Whether this version of a key is cached.
     pub fn cached(&mut self, key: u64, version: u32) -> bool {
         self.cache.get(&key).is_some_and(|v| *v == version)
     }
 
-    pub fn keep(&mut self, key: u64, version: u32) {
+    pub fn store(&mut self, key: u64, version: u32) {
         self.cache.put(key, version);
     }
 
-    /// Its process ends.
-    pub fn ends(&mut self) {
+    /// Stops the process.
+    pub fn stop(&mut self) {
         self.down = true;
-        self.life += 1;
+        self.incarnation += 1;
         (self.busy, self.connections) = (0, 0);
         self.waiting.clear();
         self.held.clear();
@@ -199,14 +201,14 @@
         self.recent.clear();
     }
 
-    /// It starts again with nothing cached.
-    pub fn starts(&mut self, now: Nanos) {
+    /// Starts the process with an empty cache.
+    pub fn start(&mut self, now: Nanos) {
         (self.down, self.fallen, self.draining, self.born) = (false, false, false, now);
         self.cache.clear();
     }
 
-    /// Of an answer that is ready: what becomes of it on the way out.
-    pub fn spoilt(&self, chance: &mut RandomSource) -> Option<Status> {
+    /// Draws whether an outgoing answer is lost to a reset or malformed.
+    pub fn output_fault(&self, chance: &mut RandomSource) -> Option<Status> {
         if chance.happens(self.resets) {
             Some(Status::Reset)
         } else if chance.happens(self.spoils) {
@@ -216,8 +218,8 @@
         }
     }
 
-    /// What a good answer brings beside itself, and how much later.
-    pub fn too_much(&self, answer: Answer, chance: &mut RandomSource) -> Option<(Answer, Nanos)> {
+    /// Draws the unsolicited bytes that follow a successful answer, and their delay.
+    pub fn unsolicited_bytes(&self, answer: Answer, chance: &mut RandomSource) -> Option<(Answer, Nanos)> {
         let Surplus { part, copy, late } = self.surplus;
         if answer.status != Status::Ok || !chance.happens(part) {
             return None;
@@ -226,12 +228,12 @@
         Some((if copy { answer } else { Answer { made_for: None, ..answer } }, after))
     }
 
-    /// How long something that came now would take, if it would be served.
+    /// How long a request that arrived now would take; `None` if it would not be served.
     pub fn wait(&self, now: Nanos) -> Option<Nanos> {
         if self.down || self.fallen || self.silent > 0 || self.draining || !self.has_room() {
             return None;
         }
-        let one = self.work[0] as f64 * self.slowness(now) / (self.speed * self.warmth(now));
+        let one = self.work[0] as f64 * self.slowdown(now) / (self.speed * self.warm_up_fraction(now));
         let before = (self.waiting.len() + self.busy + 1) as f64 / self.cores as f64;
         Some((one * before.max(1.0)) as Nanos)
     }
--- a/crates/model/src/copies.rs
+++ b/crates/model/src/copies.rs
@@ -15,7 +15,7 @@
 /// How often a proxy looks at its live side.
 const LOOK: Nanos = 100 * MS;
 
-/// A step in the life of a copy, by its place in the table.
+/// A step in processing a copy, which is named by its index in the table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     /// It has come to its candidate, which has worked on it.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 struct Out {
     proxy: usize,
-    life: u32,
+    incarnation: u32,
     number: u64,
     candidate: usize,
     key: u64,
@@ -119,15 +119,15 @@
     pub(crate) fn copy(&mut self, proxy: usize, key: u64, hit: bool, took: Option<Nanos>) {
         let live = Side::Value(u64::from(self.origin.version(key)));
         let read = Read { class: 0, tenant: None, key, live, length: 1, hit: Some(hit), took };
-        let (now, life) = (self.now, self.hosts[proxy].life);
+        let (now, incarnation) = (self.now, self.hosts[proxy].incarnation);
         let Some(copies) = &mut self.copies else { return };
         let Some(copy) = copies.proxies[proxy].as_mut().and_then(|s| s.read(&read, now)) else { return };
         let at = copies.out.len() as u32;
         let (number, candidate, until) = (copy.number, copy.candidate as usize, copy.until);
-        copies.out.push(Out { proxy, life, number, candidate, key, sent: now, until, over: false });
+        copies.out.push(Out { proxy, incarnation, number, candidate, key, sent: now, until, over: false });
         let takes = millis(self.scenario.topology.zone_delay_ms + self.scenario.kinds[0].read_ms);
-        self.at(now + takes, Ev::Copy(Step::Worked(at)));
-        self.at(until, Ev::Copy(Step::Up(at)));
+        self.schedule(now + takes, Ev::Copy(Step::Worked(at)));
+        self.schedule(until, Ev::Copy(Step::Up(at)));
     }
 
     pub(crate) fn copy_step(&mut self, step: Step) {
@@ -152,7 +152,7 @@
                         one.look(&vitals, now);
                     }
                 }
-                self.at(now + LOOK, Ev::Copy(Step::Look));
+                self.schedule(now + LOOK, Ev::Copy(Step::Look));
             }
         }
     }
@@ -175,8 +175,10 @@
         } else {
             candidate.fetching.insert(key, Vec::new());
             copies.fetched.push(now);
-            match self.origin.come((CANDIDATE, at), now) {
-                Some(Some(takes)) => self.at(now + takes, Ev::Ledger { to: CANDIDATE, job: at }),
+            match self.origin.submit((CANDIDATE, at), now) {
+                Some(Some(takes)) => {
+                    self.schedule(now + takes, Ev::OriginWorkDone { to: CANDIDATE, job: at })
+                }
                 Some(None) => {}
                 None => self.copy_fetched(at, false),
             }
@@ -198,8 +200,8 @@
     }
 
     fn copy_back(&mut self, at: u32, hit: bool) {
-        let way = millis(self.scenario.topology.zone_delay_ms);
-        self.at(self.now + way, Ev::Copy(Step::Back(at, hit)));
+        let delay = millis(self.scenario.topology.zone_delay_ms);
+        self.schedule(self.now + delay, Ev::Copy(Step::Back(at, hit)));
     }
 
     fn copy_ended(&mut self, at: u32, ended: Ended) {
@@ -207,7 +209,7 @@
         let Some(copies) = &mut self.copies else { return };
         let one = &mut copies.out[at as usize];
         let host = &self.hosts[one.proxy];
-        if std::mem::replace(&mut one.over, true) || host.life != one.life || !host.alive {
+        if std::mem::replace(&mut one.over, true) || host.incarnation != one.incarnation || !host.alive {
             return;
         }
         if let Some(shadow) = &mut copies.proxies[one.proxy] {
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -1,19 +1,19 @@
-//! Who tells the list of boxes: changes to its subscribers, late if need be, and whole lists on demand.
+//! The discovery service: sends changes of the box list to subscribers, with lag, and full lists on request.
 
 use crate::scenario;
 use crate::{millis, Nanos, SECOND};
 use calicosaddle::api::{ServerEntry, ServerState};
 
-/// The list, and what is out of order.
+/// The box list and the service's current faults.
 #[derive(Debug)]
 pub struct Discovery {
-    /// All entries by the boxes' numbers; those that were never listed are nothing.
+    /// Entries by box number; `None` for boxes that were never listed.
     pub entries: Vec<Option<ServerEntry>>,
     lag: Nanos,
     second_lag: Nanos,
-    /// More lag, by faults.
+    /// Additional lag caused by faults.
     pub late: Nanos,
-    /// It answers nobody while this is over 0.
+    /// Number of active outages; it answers no call while this is above 0.
     pub down: u32,
     calls_a_second: u32,
     second: Nanos,
@@ -21,31 +21,31 @@
 }
 
 impl Discovery {
-    pub fn new(told: &scenario::Discovery) -> Self {
+    pub fn new(spec: &scenario::Discovery) -> Self {
         Discovery {
             entries: Vec::new(),
-            lag: millis(told.lag_ms),
-            second_lag: millis(told.second_lag_ms),
+            lag: millis(spec.lag_ms),
+            second_lag: millis(spec.second_lag_ms),
             late: 0,
             down: 0,
-            calls_a_second: told.calls_a_second,
+            calls_a_second: spec.calls_a_second,
             second: 0,
             calls: 0,
         }
     }
 
-    /// How late a change reaches a proxy.
+    /// Lag with which a change reaches a proxy.
     pub fn lag(&self, proxy: usize) -> Nanos {
         self.lag + self.late + if proxy % 2 == 1 { self.second_lag } else { 0 }
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> Vec<(u32, ServerEntry)> {
+    /// The full list, without removed boxes.
+    pub fn full_list(&self) -> Vec<(u32, ServerEntry)> {
         let all = self.entries.iter().enumerate().filter_map(|(b, e)| Some((b as u32, e.clone()?)));
         all.filter(|(_, e)| e.state != ServerState::Removed).collect()
     }
 
-    /// May one more call be answered now?
+    /// Whether one more call may be answered now; counts it against the rate limit.
     pub fn admits(&mut self, now: Nanos) -> bool {
         if self.down > 0 {
             return false;
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -1,14 +1,15 @@
-//! The ledger behind the boxes: a queue before a number of places, its stop under overload, and the effects of writes.
+//! The origin behind the boxes: a bounded queue for a fixed number of workers, collapse under overload, and the effects
+//! of writes.
 
 use crate::scenario;
 use crate::{millis, seconds, Nanos};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// A repeat of a write is dropped for so long.
-const WINDOW: Nanos = crate::SECOND;
+/// Repeats of a write within this window are ignored.
+const DEDUPLICATION_WINDOW: Nanos = crate::SECOND;
 
-/// What a fetch or write is for: its box's own number for it.
+/// Identifies a fetch or write: the box and the box's job number.
 pub type Ticket = (u32, u32);
 
 #[derive(Debug)]
@@ -24,22 +25,22 @@
     fallen_until: Nanos,
     recent: VecDeque<Nanos>,
     versions: FxHashMap<u64, u32>,
-    /// By request: when the first attempt that took effect had been sent, and how often any did.
+    /// By request: when the first effective attempt was sent, and how many took effect.
     effects: FxHashMap<u64, (Nanos, u32)>,
     pub fetches: u64,
-    pub turned_away: u64,
-    /// How often it stopped by itself.
+    pub rejected: u64,
+    /// How often it collapsed under overload.
     pub falls: u64,
 }
 
 impl Origin {
-    pub fn new(told: &scenario::Origin) -> Self {
+    pub fn new(spec: &scenario::Origin) -> Self {
         Origin {
-            places: told.places,
-            work: millis(told.work_ms),
-            queue: told.queue,
-            fall: told.fall_multiple,
-            fall_for: seconds(told.fall_s),
+            places: spec.places,
+            work: millis(spec.work_ms),
+            queue: spec.queue,
+            fall: spec.fall_multiple,
+            fall_for: seconds(spec.fall_s),
             busy: 0,
             waiting: VecDeque::new(),
             stopped: false,
@@ -48,20 +49,20 @@
             versions: FxHashMap::default(),
             effects: FxHashMap::default(),
             fetches: 0,
-            turned_away: 0,
+            rejected: 0,
             falls: 0,
         }
     }
 
-    /// Something comes; `None` if it is turned away, else whether its work begins now (and ends after so long).
-    pub fn come(&mut self, ticket: Ticket, now: Nanos) -> Option<Option<Nanos>> {
+    /// Accepts a fetch or write. `None`: rejected; `Some(None)`: queued; `Some(Some(duration))`: work starts now.
+    pub fn submit(&mut self, ticket: Ticket, now: Nanos) -> Option<Option<Nanos>> {
         if self.fall > 0.0 {
             self.recent.push_back(now);
             while self.recent.front().is_some_and(|at| at + self.fall_for < now) {
                 self.recent.pop_front();
             }
-            let can = self.places as f64 * self.fall_for as f64 / self.work.max(1) as f64;
-            if self.recent.len() as f64 > self.fall * can && now >= self.fallen_until {
+            let capacity = self.places as f64 * self.fall_for as f64 / self.work.max(1) as f64;
+            if self.recent.len() as f64 > self.fall * capacity && now >= self.fallen_until {
                 self.fallen_until = now + self.fall_for;
                 self.falls += 1;
                 self.recent.clear();
@@ -70,7 +71,7 @@
         if now < self.fallen_until
             || self.waiting.len() >= self.queue.max(usize::from(self.busy < self.places))
         {
-            self.turned_away += 1;
+            self.rejected += 1;
             return None;
         }
         if self.stopped || self.busy >= self.places {
@@ -81,12 +82,12 @@
         Some(Some(self.work))
     }
 
-    /// The part of its places' time that was worked.
-    pub fn part(&self, span: Nanos) -> f64 {
+    /// Fraction of its workers' time spent working.
+    pub fn utilization(&self, span: Nanos) -> f64 {
         (self.fetches * self.work) as f64 / (self.places as f64 * span.max(1) as f64)
     }
 
-    /// A place is free: what begins next, and ends after so long.
+    /// Starts the next queued item if a worker is free; returns it with the duration of its work.
     pub fn next(&mut self) -> Option<(Ticket, Nanos)> {
         if self.stopped || self.busy >= self.places {
             return None;
@@ -105,11 +106,11 @@
         self.versions.get(&key).copied().unwrap_or(0)
     }
 
-    /// A write takes effect, unless it is a repeat that is remembered; true if one did before. The window counts from
-    /// the send of an attempt that ran, to the send of the repeat.
+    /// Applies a write unless it is a repeat within the deduplication window; true if the request took effect before. The
+    /// window runs from the send time of the first effective attempt to the send time of the repeat.
     pub fn write(&mut self, key: u64, request: u64, sent: Nanos) -> bool {
         let effect = self.effects.entry(request).or_insert((sent, 0));
-        if effect.1 > 0 && sent.abs_diff(effect.0) < WINDOW {
+        if effect.1 > 0 && sent.abs_diff(effect.0) < DEDUPLICATION_WINDOW {
             return false;
         }
         effect.1 += 1;
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -1,46 +1,49 @@
-//! What decides: the shipped module, or something to compare it with, by the module's own interface.
+//! The interface of load-balancing policies: that of the shipped balancer, which baseline policies implement as well.
 
 use calicosaddle::api::{Action, Event, Nanos, ServerId, Settings};
 use calicosaddle::Balancer;
 use freshness::Subscription;
 
-/// The state of the boxes as it is, which nobody knows outside a model.
+/// The true state of the boxes, which only a simulation can know.
 pub trait Truth {
-    /// How long a request that came to this box now would wait and be worked on; nothing if it would not be served.
+    /// Time from sending a request to this box now to its answer; `None` if it would not be served.
     fn wait(&self, server: ServerId) -> Option<Nanos>;
 }
 
-/// A decision module: events in, actions out.
+/// A load-balancing policy: receives events and returns actions.
 pub trait Policy {
-    /// Takes one event and appends the actions it calls for.
+    /// Handles one event and appends the resulting actions.
     fn handle(&mut self, now: Nanos, event: Event, truth: &dyn Truth, actions: &mut Vec<Action>);
 
-    /// How many listed boxes it leaves alone now, where it can say so.
+    /// Number of listed boxes that receive no traffic now, if the policy tracks this; otherwise 0.
     fn avoided(&self, _: Nanos) -> usize {
         0
     }
 }
 
-/// The shipped module, and what follows the list for it.
+/// The shipped balancer with its discovery subscription.
 pub struct Shipped {
-    brain: Balancer,
-    stream: Subscription,
+    balancer: Balancer,
+    subscription: Subscription,
 }
 
 impl Shipped {
-    /// A process that begins at the first event; nothing learned.
+    /// A balancer in its initial state.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        Shipped { brain: Balancer::new(settings.clone(), seed), stream: Subscription::new(settings, seed) }
+        Shipped {
+            balancer: Balancer::new(settings.clone(), seed),
+            subscription: Subscription::new(settings, seed),
+        }
     }
 }
 
 impl Policy for Shipped {
     fn handle(&mut self, now: Nanos, event: Event, _: &dyn Truth, actions: &mut Vec<Action>) {
-        self.stream.handle(now, &event, actions);
-        self.brain.handle(now, event, actions);
+        self.subscription.handle(now, &event, actions);
+        self.balancer.handle(now, event, actions);
     }
 
     fn avoided(&self, now: Nanos) -> usize {
-        self.brain.unavailable_servers(now)
+        self.balancer.unavailable_servers(now)
     }
 }
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -1,10 +1,10 @@
-//! The loop of events in virtual time, with clients, front layer, boxes, origin and faults. Proxies are in `host`.
+//! The discrete-event loop in virtual time, with clients, front layer, boxes, origin and faults. Proxies are in `host`.
 
 use crate::arrivals::{Arrival, Arrivals};
 use crate::boxes::{Answer, CacheBox, Job, Surplus};
 use crate::copies::{Copies, Step, CANDIDATE};
 use crate::discovery::Discovery;
-use crate::host::{Connection, Host, Known};
+use crate::host::{Connection, Host, ListedBox};
 use crate::judge::{Breaches, Rule};
 use crate::origin::Origin;
 use crate::policy::Policy;
@@ -18,26 +18,26 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// A client allows so much for the way, past its wait.
-const GRACE: Nanos = 50 * MS;
-/// Discovery answers a call after this.
-const CALL: Nanos = 2 * MS;
-/// A drained box turns new requests away after this.
-const DRAINS: Nanos = 500 * MS;
-/// Between a box's drain and its end, and from there to its new start, while boxes are rolled.
-const ROLL: [Nanos; 2] = [1_000 * MS, 200 * MS];
-/// The part of the idle time after which a connection is not used again.
-const IDLE_PART: f64 = 0.8;
-/// Proxies that refuse a connection before a client gives the try up.
-const DOORS: u32 = 3;
+/// A client waits this much longer than its timeout, to allow for network delay.
+const CLIENT_GRACE: Nanos = 50 * MS;
+/// Time that discovery takes to answer a call.
+const DISCOVERY_CALL_TIME: Nanos = 2 * MS;
+/// Time from a box's drain to when it rejects new requests.
+const DRAIN_REJECT_DELAY: Nanos = 500 * MS;
+/// During a rolling restart: time from a box's drain to its stop, and from its stop to its start.
+const ROLL_DELAYS: [Nanos; 2] = [1_000 * MS, 200 * MS];
+/// Fraction of the idle timeout after which a connection is not reused.
+const IDLE_REUSE_FRACTION: f64 = 0.8;
+/// Proxies that may refuse a connection before the client's try fails.
+const MAX_PROXIES_REFUSING: u32 = 3;
 
-/// How a run is made.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Proxies look again before they send, as the real one does: at drains, at requests that are over. A test that
-    /// breaks a rule on purpose switches this off.
+    /// Proxies check again before they send, as the real one does, that the box is not draining and the request not
+    /// finished. Tests that break a rule on purpose switch this off.
     pub guard: bool,
-    /// Keep a history of this request.
+    /// Record the history of this request.
     pub trace: Option<u32>,
 }
 
@@ -47,23 +47,23 @@
     }
 }
 
-/// Plays a scenario with a policy by name.
+/// Runs a scenario with the named policy.
 ///
 /// # Errors
-/// There is no such policy.
+/// Returns a message if there is no such policy.
 pub fn run(scenario: &Scenario, policy: &str, seed: u64) -> Result<Summary, String> {
     if !crate::NAMES.contains(&policy) {
         return Err(format!("there is no policy '{policy}'; there are {}", crate::NAMES.join(", ")));
     }
     let make = |_: usize, settings: &Settings, seed: u64| {
-        // The name was looked at above.
+        // The name was checked above.
         crate::make(policy, settings, seed).unwrap_or_else(|| unreachable!("a policy that is listed"))
     };
     Ok(run_with(scenario, policy, seed, Options::default(), &make))
 }
 
-/// The same with any policy, made for each proxy by its number, its settings and its seed. Where a rule breaks, the run
-/// is played once more for the history of the first request that did it.
+/// Runs a scenario with any policy; `make` creates it for each proxy from its number, settings and seed. If a rule is
+/// broken, the scenario is run a second time to record the history of the first request that broke one.
 pub fn run_with(
     scenario: &Scenario,
     name: &str,
@@ -82,31 +82,31 @@
     summary
 }
 
-/// How a try ended for its client.
+/// How a try ended for its client. Request histories print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     Served,
-    /// To be asked again after this, if it is told.
+    /// Refused; the client should retry after this long, or at will if it is 0.
     Refused(Nanos),
     Failed,
-    /// The proxy died.
+    /// The proxy process died.
     Died,
-    /// No proxy took it.
+    /// No proxy accepted the connection.
     Nowhere,
-    /// Nothing came within the client's wait.
+    /// No answer arrived within the client's timeout.
     Late,
 }
 
 /// A request of a client.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct ClientRequest {
     pub key: u64,
     pub write: bool,
     first: Nanos,
     tries: u32,
-    /// The proxy that has its current try, and which of its lives.
-    at: Option<(usize, u32)>,
-    waits: bool,
+    /// The proxy that handles the current try, and that proxy's incarnation.
+    proxy: Option<(usize, u32)>,
+    waiting: bool,
     end: Option<End>,
     ended: Nanos,
 }
@@ -115,30 +115,30 @@
 pub(crate) enum Ev {
     Request(Arrival),
     Try(u32),
-    Reach { request: u32, number: u32, proxy: usize, wait: Nanos, doors: u32 },
-    Told { request: u32, number: u32, end: End },
-    GiveUp { request: u32, number: u32 },
-    Module { proxy: usize, life: u32, token: u64 },
-    Deadline { proxy: usize, life: u32, id: u64 },
-    Attempt { proxy: usize, life: u32, id: u64, attempt: u32 },
-    Connect { connection: usize, serial: u64 },
-    Knock { connection: usize, serial: u64 },
-    Up { connection: usize, serial: u64, crowded: bool },
-    Lost { connection: usize, serial: u64 },
-    Left { to: u32, life: u32 },
+    AtProxy { request: u32, number: u32, proxy: usize, wait: Nanos, refused_by: u32 },
+    ClientAnswered { request: u32, number: u32, end: End },
+    ClientTimeout { request: u32, number: u32 },
+    PolicyTimer { proxy: usize, incarnation: u32, token: u64 },
+    Deadline { proxy: usize, incarnation: u32, id: u64 },
+    AttemptTimeout { proxy: usize, incarnation: u32, id: u64, attempt: u32 },
+    ConnectTimeout { connection: usize, serial: u64 },
+    ConnectionRequest { connection: usize, serial: u64 },
+    Connected { connection: usize, serial: u64, over_connection_limit: bool },
+    ConnectionLost { connection: usize, serial: u64 },
+    ConnectionClosed { to: u32, incarnation: u32 },
     AtBox { job: u32 },
-    Worked { to: u32, life: u32, job: u32 },
-    Ledger { to: u32, job: u32 },
+    BoxWorkDone { to: u32, incarnation: u32, job: u32 },
+    OriginWorkDone { to: u32, job: u32 },
     Reply { connection: usize, serial: u64, answer: Answer, more: Option<Answer> },
-    Rested { connection: usize, serial: u64 },
-    List { proxy: usize, life: u32, kind: ListKind, entries: Rc<Vec<(u32, ServerEntry)>> },
+    Writable { connection: usize, serial: u64 },
+    List { proxy: usize, incarnation: u32, kind: ListKind, entries: Rc<Vec<(u32, ServerEntry)>> },
     Publish(Rc<Vec<(u32, ServerEntry)>>),
-    Do(Op),
+    Fault(Op),
     Copy(Step),
     Second,
 }
 
-/// What a fault does to one thing.
+/// One state change that a fault causes.
 #[derive(Clone, Debug)]
 pub(crate) enum Op {
     Silent(u32, bool),
@@ -160,20 +160,20 @@
     OriginStops(bool),
 }
 
-struct Item(Nanos, u64, Ev);
+struct Scheduled(Nanos, u64, Ev);
 
-impl PartialEq for Item {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Item {}
-impl PartialOrd for Item {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Item {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
@@ -186,8 +186,8 @@
     seed: u64,
     pub now: Nanos,
     order: u64,
-    heap: BinaryHeap<Reverse<Item>>,
-    /// What waits for a cut to heal.
+    heap: BinaryHeap<Reverse<Scheduled>>,
+    /// Events held back until a network partition ends.
     stalled: Vec<Ev>,
     cut: Vec<u32>,
     pub hosts: Vec<Host>,
@@ -200,15 +200,15 @@
     pub ids: u64,
     jobs: Vec<Option<(Job, u32)>>,
     free_jobs: Vec<u32>,
-    pub requests: Vec<Asked>,
+    pub requests: Vec<ClientRequest>,
     front: Vec<bool>,
-    /// The sums of the proxies' weights up to each; none where all are alike.
+    /// Cumulative weights of the proxies; empty if all are equal.
     weights: Vec<f64>,
     discovery: Discovery,
     pub origin: Origin,
-    /// Copies of reads to candidates, where there are any.
+    /// Shadow copies of reads, if the scenario has candidates.
     pub copies: Option<Copies>,
-    /// A connection that was idle for so long is not used again.
+    /// A connection that has been idle for this long is not reused.
     pub idle_after: Nanos,
     /// How connections to boxes are chosen.
     pub pipes: pipeline::PipelineConfig,
@@ -273,7 +273,7 @@
             discovery: Discovery::new(&scenario.discovery),
             origin: Origin::new(&scenario.origin),
             copies: Copies::new(&scenario.shadow, t.proxies),
-            idle_after: (seconds(t.idle_s) as f64 * IDLE_PART) as Nanos,
+            idle_after: (seconds(t.idle_s) as f64 * IDLE_REUSE_FRACTION) as Nanos,
             pipes: t.pipes(),
             arrivals: Arrivals::new(scenario, seed),
             clients: RandomSource::new(seed, 2),
@@ -303,36 +303,36 @@
             sim.discovery.entries.push((i < t.boxes).then_some(entry));
         }
         for (i, f) in faults.iter().enumerate() {
-            sim.plan(i as u64, f.at_s, f.lasts_s, &f.fault);
+            sim.schedule_fault(i as u64, f.at_s, f.lasts_s, &f.fault);
         }
         for proxy in 0..t.proxies {
-            sim.hosts[proxy].known = vec![Known::default(); count];
+            sim.hosts[proxy].known = vec![ListedBox::default(); count];
             for at in 0..t.boxes {
                 sim.hosts[proxy].known[at].state = Some(ServerState::Ready);
             }
-            sim.start(proxy);
+            sim.start_proxy(proxy);
         }
         sim.next_request();
-        sim.at(SECOND, Ev::Second);
+        sim.schedule(SECOND, Ev::Second);
         if sim.copies.is_some() {
-            sim.at(0, Ev::Copy(Step::Look));
+            sim.schedule(0, Ev::Copy(Step::Look));
         }
         sim
     }
 
-    pub fn at(&mut self, at: Nanos, ev: Ev) {
+    pub fn schedule(&mut self, at: Nanos, ev: Ev) {
         self.order += 1;
-        self.heap.push(Reverse(Item(at, self.order, ev)));
+        self.heap.push(Reverse(Scheduled(at, self.order, ev)));
     }
 
-    /// A line of the history, if this request's is kept.
-    pub fn note(&mut self, request: u32, line: impl FnOnce() -> String) {
+    /// Adds a line to the history if this request is the traced one.
+    pub fn record_history(&mut self, request: u32, line: impl FnOnce() -> String) {
         if self.options.trace == Some(request) {
             self.history.push(format!("{:.3} ms: {}", self.now as f64 / 1e6, line()));
         }
     }
 
-    pub fn attempts(&mut self) {
+    pub fn count_attempt(&mut self) {
         self.all_attempts += 1;
         let second = (self.now / SECOND) as usize;
         if let Some(s) = self.seconds.get_mut(second) {
@@ -340,7 +340,7 @@
         }
     }
 
-    pub fn opened(&mut self) {
+    pub fn count_opened(&mut self) {
         self.all_opened += 1;
         let second = (self.now / SECOND) as usize;
         if let Some(s) = self.seconds.get_mut(second) {
@@ -369,8 +369,8 @@
         job
     }
 
-    /// The way between a proxy and a box.
-    pub fn way(&self, proxy: usize, to: u32) -> Nanos {
+    /// One-way network delay between a proxy and a box.
+    pub fn network_delay(&self, proxy: usize, to: u32) -> Nanos {
         let t = &self.scenario.topology;
         let same = self.hosts[proxy].zone == self.boxes[to as usize].zone;
         millis(if same { t.local_delay_ms } else { t.zone_delay_ms })
@@ -397,12 +397,12 @@
         }
     }
 
-    fn start(&mut self, proxy: usize) {
+    fn start_proxy(&mut self, proxy: usize) {
         let settings = self.scenario.settings(proxy);
         let host = &mut self.hosts[proxy];
         host.alive = true;
-        let life = u64::from(host.life);
-        let seed = RandomSource::new(self.seed, 1_000 + proxy as u64 + (life << 32)).bits();
+        let incarnation = u64::from(host.incarnation);
+        let seed = RandomSource::new(self.seed, 1_000 + proxy as u64 + (incarnation << 32)).bits();
         host.policy = Some((self.make)(proxy, &settings, seed));
         self.copies.iter_mut().for_each(|c| c.start(proxy, settings.proxy_count, self.now));
         let mut entries = Vec::new();
@@ -410,76 +410,76 @@
             let Some(state) = known.state.filter(|s| *s != ServerState::Removed) else { continue };
             entries.push(ServerEntry { started_at: known.started, ..self.entry(at as u32, state) });
             if state == ServerState::Draining {
-                // It knows of the drain from its start on.
-                self.hosts[proxy].told_drain.insert(at as u32, self.now);
+                // A restarted proxy counts as notified of the drain at its start.
+                self.hosts[proxy].drain_notified_at.insert(at as u32, self.now);
             }
         }
         self.hosts[proxy].events.push_back(Event::ServerList { kind: ListKind::Cached, entries });
-        self.decide(proxy);
+        self.run_policy(proxy);
     }
 
     // ---- faults ----
 
-    fn which(&self, number: u64, which: &Which, of: usize) -> Vec<u32> {
+    fn targets(&self, number: u64, which: &Which, of: usize) -> Vec<u32> {
         which.of(self.seed, number, of).into_iter().map(|i| i as u32).collect()
     }
 
-    fn plan(&mut self, number: u64, at_s: f64, lasts_s: Option<f64>, fault: &Fault) {
+    fn schedule_fault(&mut self, number: u64, at_s: f64, lasts_s: Option<f64>, fault: &Fault) {
         let t = &self.scenario.topology;
         let (boxes, proxies) = (t.boxes, t.proxies);
         let (from, until) = (seconds(at_s), lasts_s.map(|l| seconds(at_s + l)));
         let both = |sim: &mut Self, on: Op, off: Option<Op>| {
-            sim.at(from, Ev::Do(on));
+            sim.schedule(from, Ev::Fault(on));
             if let (Some(until), Some(off)) = (until, off) {
-                sim.at(until, Ev::Do(off));
+                sim.schedule(until, Ev::Fault(off));
             }
         };
         match fault {
             Fault::Silent { boxes: w } => {
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     both(self, Op::Silent(b, true), Some(Op::Silent(b, false)));
                 }
             }
             Fault::Down { boxes: w } => {
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     both(self, Op::Down(b), Some(Op::Up(b)));
                 }
             }
             Fault::Resets { boxes: w, part } => {
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     both(self, Op::Resets(b, *part), Some(Op::Resets(b, 0.0)));
                 }
             }
             Fault::Spoils { boxes: w, part } => {
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     both(self, Op::Spoils(b, *part), Some(Op::Spoils(b, 0.0)));
                 }
             }
             Fault::Surplus { boxes: w, part, copy, late_ms } => {
                 let surplus = Surplus { part: *part, copy: *copy, late: millis(*late_ms) };
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     both(self, Op::Surplus(b, surplus), Some(Op::Surplus(b, Surplus::default())));
                 }
             }
             Fault::Slows { boxes: w, times } => {
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     let span = (from, until.unwrap_or(from), *times);
                     both(self, Op::Slows(b, Some(span)), Some(Op::Slows(b, None)));
                 }
             }
             Fault::Drain { boxes: w } => {
-                for b in self.which(number, w, boxes) {
+                for b in self.targets(number, w, boxes) {
                     both(self, Op::Drain(b, true), Some(Op::Drain(b, false)));
                 }
             }
             Fault::Roll { boxes: w } => {
-                let all = self.which(number, w, boxes);
+                let all = self.targets(number, w, boxes);
                 let step = until.unwrap_or(from).saturating_sub(from) / (all.len().max(1) as Nanos);
                 for (i, b) in all.into_iter().enumerate() {
                     let at = from + i as Nanos * step;
-                    self.at(at, Ev::Do(Op::Drain(b, true)));
-                    self.at(at + ROLL[0], Ev::Do(Op::Down(b)));
-                    self.at(at + ROLL[0] + ROLL[1], Ev::Do(Op::Up(b)));
+                    self.schedule(at, Ev::Fault(Op::Drain(b, true)));
+                    self.schedule(at + ROLL_DELAYS[0], Ev::Fault(Op::Down(b)));
+                    self.schedule(at + ROLL_DELAYS[0] + ROLL_DELAYS[1], Ev::Fault(Op::Up(b)));
                 }
             }
             Fault::Grow { .. } => {
@@ -488,7 +488,7 @@
             }
             Fault::Cut { zone } => both(self, Op::Cut(*zone, true), Some(Op::Cut(*zone, false))),
             Fault::Die { proxies: w } => {
-                for p in self.which(number, w, proxies) {
+                for p in self.targets(number, w, proxies) {
                     both(self, Op::Die(p as usize), Some(Op::Return(p as usize)));
                 }
             }
@@ -500,7 +500,7 @@
         }
     }
 
-    fn op(&mut self, op: Op) {
+    fn apply_op(&mut self, op: Op) {
         let now = self.now;
         match op {
             Op::Silent(b, on) => {
@@ -508,20 +508,20 @@
                 one.silent = if on { one.silent + 1 } else { one.silent.saturating_sub(1) };
                 if one.silent == 0 {
                     for job in std::mem::take(&mut one.held) {
-                        self.take(b, job);
+                        self.accept_request(b, job);
                     }
                 }
             }
             Op::Down(b) => {
                 if !self.boxes[b as usize].down {
-                    self.boxes[b as usize].ends();
+                    self.boxes[b as usize].stop();
                     self.drop_connections(b);
                 }
             }
             Op::Up(b) => {
                 if self.boxes[b as usize].down {
-                    self.boxes[b as usize].starts(now);
-                    self.listed(&[b], ServerState::Ready);
+                    self.boxes[b as usize].start(now);
+                    self.announce(&[b], ServerState::Ready);
                 }
             }
             Op::Resets(b, part) => self.boxes[b as usize].resets = part,
@@ -529,9 +529,9 @@
             Op::Surplus(b, surplus) => self.boxes[b as usize].surplus = surplus,
             Op::Slows(b, span) => self.boxes[b as usize].slows = span,
             Op::Drain(b, on) => {
-                self.listed(&[b], if on { ServerState::Draining } else { ServerState::Ready });
+                self.announce(&[b], if on { ServerState::Draining } else { ServerState::Ready });
                 if on {
-                    self.at(now + DRAINS, Ev::Do(Op::Refuses(b)));
+                    self.schedule(now + DRAIN_REJECT_DELAY, Ev::Fault(Op::Refuses(b)));
                 } else {
                     self.boxes[b as usize].draining = false;
                 }
@@ -545,16 +545,16 @@
             Op::Join(new) => {
                 for b in &new {
                     self.joined[*b as usize] = true;
-                    self.boxes[*b as usize].starts(now);
+                    self.boxes[*b as usize].start(now);
                 }
-                self.listed(&new, ServerState::Ready);
+                self.announce(&new, ServerState::Ready);
             }
             Op::Cut(zone, on) => {
                 self.cut[zone] = if on { self.cut[zone] + 1 } else { self.cut[zone].saturating_sub(1) };
                 if !on {
-                    // What was on its way arrives now, as a sender's repeats have it.
+                    // Delayed segments arrive now, as retransmission would deliver them.
                     for ev in std::mem::take(&mut self.stalled) {
-                        self.at(now, ev);
+                        self.schedule(now, ev);
                     }
                 }
             }
@@ -562,21 +562,21 @@
                 if !self.hosts[proxy].alive {
                     return;
                 }
-                let (open, connections) = self.hosts[proxy].dies(self.pipes.settle_delay);
+                let (open, connections) = self.hosts[proxy].kill(self.pipes.settle_delay);
                 for key in connections {
-                    self.unplug(key);
+                    self.remove_connection(key);
                 }
                 for one in open {
-                    self.tell(one.request, one.number, proxy, End::Died);
+                    self.answer_client(one.request, one.number, proxy, End::Died);
                 }
                 let lag = millis(self.scenario.traffic.front_lag_ms);
-                self.at(now + lag, Ev::Do(Op::Front(proxy, false)));
+                self.schedule(now + lag, Ev::Fault(Op::Front(proxy, false)));
             }
             Op::Return(proxy) => {
                 if !self.hosts[proxy].alive {
-                    self.start(proxy);
+                    self.start_proxy(proxy);
                     let lag = millis(self.scenario.traffic.front_lag_ms);
-                    self.at(now + lag, Ev::Do(Op::Front(proxy, true)));
+                    self.schedule(now + lag, Ev::Fault(Op::Front(proxy, true)));
                 }
             }
             Op::Front(proxy, up) => self.front[proxy] = up,
@@ -598,7 +598,7 @@
             Op::OriginStops(on) => {
                 self.origin.stopped = on;
                 while let Some(((to, job), takes)) = self.origin.next() {
-                    self.at(now + takes, Ev::Ledger { to, job });
+                    self.schedule(now + takes, Ev::OriginWorkDone { to, job });
                 }
             }
         }
@@ -608,17 +608,17 @@
         for key in 0..self.connections.len() {
             let Some(c) = self.connections[key].as_ref().filter(|c| c.to == b) else { continue };
             let (proxy, serial) = (c.proxy, c.serial);
-            let way = self.way(proxy, b);
-            self.at(self.now + way, Ev::Lost { connection: key, serial });
+            let delay = self.network_delay(proxy, b);
+            self.schedule(self.now + delay, Ev::ConnectionLost { connection: key, serial });
         }
     }
 
     // ---- discovery ----
 
-    fn listed(&mut self, which: &[u32], state: ServerState) {
+    fn announce(&mut self, which: &[u32], state: ServerState) {
         let entries: Vec<(u32, ServerEntry)> = which.iter().map(|b| (*b, self.entry(*b, state))).collect();
-        // Proxies of even numbers hear first; the rest of the lag is each one's own.
-        self.at(self.now + self.discovery.lag(0), Ev::Publish(Rc::new(entries)));
+        // Proxies with even numbers receive it first; `publish` adds the additional lag of the others.
+        self.schedule(self.now + self.discovery.lag(0), Ev::Publish(Rc::new(entries)));
     }
 
     fn publish(&mut self, entries: &Rc<Vec<(u32, ServerEntry)>>) {
@@ -633,29 +633,29 @@
             let host = &self.hosts[proxy];
             if host.alive && host.subscribed {
                 let at = self.now + if proxy % 2 == 1 { second } else { 0 };
-                let (life, kind, entries) = (host.life, ListKind::Delta, Rc::clone(entries));
-                self.at(at, Ev::List { proxy, life, kind, entries });
+                let (incarnation, kind, entries) = (host.incarnation, ListKind::Delta, Rc::clone(entries));
+                self.schedule(at, Ev::List { proxy, incarnation, kind, entries });
             }
         }
     }
 
-    pub fn ask_list(&mut self, proxy: usize) {
-        let (life, at) = (self.hosts[proxy].life, self.now + CALL);
+    pub fn request_list(&mut self, proxy: usize) {
+        let (incarnation, at) = (self.hosts[proxy].incarnation, self.now + DISCOVERY_CALL_TIME);
         let (kind, entries) = if self.discovery.admits(self.now) {
             self.hosts[proxy].subscribed = true;
-            (ListKind::Full, self.discovery.whole())
+            (ListKind::Full, self.discovery.full_list())
         } else {
             (ListKind::Failed, Vec::new())
         };
-        self.at(at, Ev::List { proxy, life, kind, entries: Rc::new(entries) });
+        self.schedule(at, Ev::List { proxy, incarnation, kind, entries: Rc::new(entries) });
     }
 
     fn list_failed(&mut self, proxy: usize) {
         self.hosts[proxy].events.push_back(Event::ServerList { kind: ListKind::Failed, entries: Vec::new() });
-        self.decide(proxy);
+        self.run_policy(proxy);
     }
 
-    fn hear(&mut self, proxy: usize, kind: ListKind, entries: &[(u32, ServerEntry)]) {
+    fn receive_list(&mut self, proxy: usize, kind: ListKind, entries: &[(u32, ServerEntry)]) {
         if kind == ListKind::Failed {
             self.list_failed(proxy);
             return;
@@ -663,36 +663,36 @@
         let now = self.now;
         let host = &mut self.hosts[proxy];
         for (b, entry) in entries {
-            host.known[*b as usize] = Known { state: Some(entry.state), started: entry.started_at };
+            host.known[*b as usize] = ListedBox { state: Some(entry.state), started: entry.started_at };
             if entry.state == ServerState::Ready {
-                host.told_drain.remove(b);
+                host.drain_notified_at.remove(b);
             } else {
-                host.told_drain.entry(*b).or_insert(now);
+                host.drain_notified_at.entry(*b).or_insert(now);
             }
         }
         let entries = entries.iter().map(|(_, e)| e.clone()).collect();
         host.events.push_back(Event::ServerList { kind, entries });
-        self.decide(proxy);
+        self.run_policy(proxy);
     }
 
     // ---- clients ----
 
     fn next_request(&mut self) {
         if let Some(arrival) = self.arrivals.next() {
-            self.at(arrival.at, Ev::Request(arrival));
+            self.schedule(arrival.at, Ev::Request(arrival));
         }
     }
 
-    fn asked(&mut self, arrival: &Arrival) {
+    fn new_request(&mut self, arrival: &Arrival) {
         self.next_request();
         let request = self.requests.len() as u32;
-        self.requests.push(Asked {
+        self.requests.push(ClientRequest {
             key: arrival.key,
             write: arrival.write,
             first: self.now,
             tries: 0,
-            at: None,
-            waits: false,
+            proxy: None,
+            waiting: false,
             end: None,
             ended: 0,
         });
@@ -716,20 +716,20 @@
         let r = &mut self.requests[request as usize];
         let number = r.tries;
         r.tries += 1;
-        r.waits = true;
-        self.at(self.now + wait + GRACE, Ev::GiveUp { request, number });
-        self.knock(request, number, wait, 0);
+        r.waiting = true;
+        self.schedule(self.now + wait + CLIENT_GRACE, Ev::ClientTimeout { request, number });
+        self.connect_to_proxy(request, number, wait, 0);
     }
 
-    /// A proxy by chance, as their weights have it.
+    /// Draws a proxy at random in proportion to the weights.
     fn pick(&mut self) -> usize {
         let Some(whole) = self.weights.last().copied() else { return self.clients.below(self.front.len()) };
         let drawn = whole * self.clients.unit();
         self.weights.partition_point(|w| *w <= drawn).min(self.front.len() - 1)
     }
 
-    /// A client's connection goes to one of the proxies that the front believes to be there.
-    fn knock(&mut self, request: u32, number: u32, wait: Nanos, doors: u32) {
+    /// Routes a client's connection to one of the proxies that the front layer considers up.
+    fn connect_to_proxy(&mut self, request: u32, number: u32, wait: Nanos, refused_by: u32) {
         let mut picked = self.pick();
         for _ in 0..16 {
             if self.front[picked] {
@@ -737,38 +737,40 @@
             }
             picked = self.pick();
         }
-        if !self.front[picked] || doors >= DOORS {
-            self.tell(request, number, usize::MAX, End::Nowhere);
+        if !self.front[picked] || refused_by >= MAX_PROXIES_REFUSING {
+            self.answer_client(request, number, usize::MAX, End::Nowhere);
             return;
         }
-        let way = millis(self.scenario.topology.client_delay_ms);
-        self.at(self.now + way, Ev::Reach { request, number, proxy: picked, wait, doors });
+        let delay = millis(self.scenario.topology.client_delay_ms);
+        self.schedule(self.now + delay, Ev::AtProxy { request, number, proxy: picked, wait, refused_by });
     }
 
-    /// An answer goes to a client.
-    pub fn tell(&mut self, request: u32, number: u32, proxy: usize, end: End) {
+    /// Sends an answer to a client.
+    pub fn answer_client(&mut self, request: u32, number: u32, proxy: usize, end: End) {
         self.copies.iter_mut().for_each(|c| c.answered(proxy, end));
-        self.note(request, || format!("proxy {proxy} answers try {number}: {end:?}"));
-        let way = millis(self.scenario.topology.client_delay_ms);
-        self.at(self.now + way, Ev::Told { request, number, end });
+        self.record_history(request, || format!("proxy {proxy} answers try {number}: {end:?}"));
+        let delay = millis(self.scenario.topology.client_delay_ms);
+        self.schedule(self.now + delay, Ev::ClientAnswered { request, number, end });
     }
 
-    fn told(&mut self, request: u32, number: u32, end: End) {
+    fn receive_answer(&mut self, request: u32, number: u32, end: End) {
         let now = self.now;
         let r = &mut self.requests[request as usize];
-        if !r.waits || r.tries != number + 1 {
+        if !r.waiting || r.tries != number + 1 {
             return;
         }
-        r.waits = false;
+        r.waiting = false;
         (r.end, r.ended) = (Some(end), now);
         if end == End::Late {
-            let still = r.at.is_some_and(|(p, life)| self.hosts[p].life == life && self.hosts[p].alive);
+            let still = r.proxy.is_some_and(|(p, incarnation)| {
+                self.hosts[p].incarnation == incarnation && self.hosts[p].alive
+            });
             if still {
                 self.breaches.add(Rule::Lost, now, Some(request), || format!("try {number} has no answer"));
             }
         }
         let r = &self.requests[request as usize];
-        // A write that may have run is not the client's to repeat; a refusal says that it has not.
+        // Clients do not retry a write that may have run; a refusal means that it has not run.
         let again = match end {
             End::Served => false,
             End::Refused(_) | End::Nowhere => true,
@@ -784,7 +786,7 @@
         }
         let r = &self.requests[request as usize];
         if now + pause < r.first + millis(self.ask(r.write).deadline_ms) {
-            self.at(now + pause, Ev::Try(request));
+            self.schedule(now + pause, Ev::Try(request));
         }
     }
 
@@ -793,23 +795,24 @@
     /// A request has reached a box.
     fn at_box(&mut self, at: u32) {
         let Some((job, request)) = &self.jobs[at as usize] else { return };
-        let (key, serial, request, seq) = (job.connection, job.serial, *request, job.place);
+        let (key, serial, request, seq) = (job.connection, job.serial, *request, job.sequence);
         let open = self.connections[key].as_ref().filter(|c| c.serial == serial);
         let Some(c) = open else {
             self.drop_job(at);
             return;
         };
-        let (to, proxy, life, crowded) = (c.to, c.proxy, c.life, c.crowded);
+        let (to, proxy, incarnation, over_connection_limit) =
+            (c.to, c.proxy, c.incarnation, c.over_connection_limit);
         if self.is_cut(proxy, to) {
             self.stalled.push(Ev::AtBox { job: at });
             return;
         }
-        self.note(request, || format!("box {to} has it"));
+        self.record_history(request, || format!("box {to} has it"));
         let one = &mut self.boxes[to as usize];
-        if one.down || one.life != life {
+        if one.down || one.incarnation != incarnation {
             self.drop_job(at);
-            let way = self.way(proxy, to);
-            self.at(self.now + way, Ev::Lost { connection: key, serial });
+            let delay = self.network_delay(proxy, to);
+            self.schedule(self.now + delay, Ev::ConnectionLost { connection: key, serial });
             return;
         }
         if let Some(c) = &mut self.connections[key] {
@@ -817,21 +820,21 @@
             c.answers.push_back(None);
         }
         let one = &mut self.boxes[to as usize];
-        if !one.fallen && one.pushed_over(self.now) {
+        if !one.fallen && one.is_overloaded_while_cold(self.now) {
             one.fallen = true;
             self.breaches.add(Rule::ColdBox, self.now, Some(request), || format!("box {to} falls"));
         }
-        if crowded {
+        if over_connection_limit {
             self.reply(at, Status::Rejected, None);
         } else {
-            self.take(to, at);
+            self.accept_request(to, at);
         }
     }
 
-    /// A box takes a request up, or turns it away.
-    fn take(&mut self, to: u32, at: u32) {
-        // What nobody waits for any more is not begun: its connection is gone.
-        let wanted = self.jobs[at as usize].as_ref().is_some_and(|(j, _)| self.wanted(j));
+    /// A box starts, queues or rejects a request.
+    fn accept_request(&mut self, to: u32, at: u32) {
+        // Requests whose connection has closed are dropped before any work is done.
+        let wanted = self.jobs[at as usize].as_ref().is_some_and(|(j, _)| self.is_connection_open(j));
         let one = &mut self.boxes[to as usize];
         if one.fallen || !wanted {
             self.drop_job(at);
@@ -840,37 +843,38 @@
         } else if one.draining || !one.has_room() {
             self.reply(at, Status::Rejected, None);
         } else if one.has_core() {
-            self.begin(to, at);
+            self.start_work(to, at);
         } else {
             one.waiting.push_back(at);
         }
     }
 
-    fn begin(&mut self, to: u32, at: u32) {
+    fn start_work(&mut self, to: u32, at: u32) {
         let one = &mut self.boxes[to as usize];
         let Some((job, _)) = &self.jobs[at as usize] else { return };
         one.busy += 1;
-        let (takes, life) = (one.takes(job, self.now, &mut self.work), one.life);
+        let (takes, incarnation) = (one.work_duration(job, self.now, &mut self.work), one.incarnation);
         one.worked += takes;
-        self.at(self.now + takes, Ev::Worked { to, life, job: at });
+        self.schedule(self.now + takes, Ev::BoxWorkDone { to, incarnation, job: at });
     }
 
-    fn wanted(&self, job: &Job) -> bool {
+    fn is_connection_open(&self, job: &Job) -> bool {
         self.connections[job.connection].as_ref().is_some_and(|c| c.serial == job.serial)
     }
 
-    /// A core is free.
-    fn worked(&mut self, to: u32, life: u32, at: u32) {
-        if self.boxes[to as usize].life != life {
+    /// A core has finished a piece of work and takes the next one.
+    fn finish_work(&mut self, to: u32, incarnation: u32, at: u32) {
+        if self.boxes[to as usize].incarnation != incarnation {
             self.drop_job(at);
             return;
         }
         self.boxes[to as usize].busy -= 1;
         while let Some(next) = self.boxes[to as usize].waiting.pop_front() {
-            let wanted =
-                self.jobs[next as usize].as_ref().is_some_and(|(j, _)| j.handshake || self.wanted(j));
+            let wanted = self.jobs[next as usize]
+                .as_ref()
+                .is_some_and(|(j, _)| j.handshake || self.is_connection_open(j));
             if wanted {
-                self.begin(to, next);
+                self.start_work(to, next);
                 break;
             }
             self.drop_job(next);
@@ -893,18 +897,18 @@
             }
             one.fetching.insert(job.key, Vec::new());
         }
-        match self.origin.come((to, at), self.now) {
-            Some(Some(takes)) => self.at(self.now + takes, Ev::Ledger { to, job: at }),
+        match self.origin.submit((to, at), self.now) {
+            Some(Some(takes)) => self.schedule(self.now + takes, Ev::OriginWorkDone { to, job: at }),
             Some(None) => {}
-            None => self.fetched(to, life, at, false),
+            None => self.fetched(to, incarnation, at, false),
         }
     }
 
-    /// The origin has done a piece of work.
-    fn ledger(&mut self, to: u32, at: u32) {
+    /// The origin has finished a piece of work.
+    fn finish_origin_work(&mut self, to: u32, at: u32) {
         self.origin.done();
         while let Some(((to, job), takes)) = self.origin.next() {
-            self.at(self.now + takes, Ev::Ledger { to, job });
+            self.schedule(self.now + takes, Ev::OriginWorkDone { to, job });
         }
         if to == CANDIDATE {
             self.copy_fetched(at, true);
@@ -917,16 +921,16 @@
                     format!("its write took effect again, by box {to}")
                 });
             }
-            self.note(request as u32, || format!("the write by box {to} is in the ledger"));
+            self.record_history(request as u32, || format!("the write by box {to} is in the ledger"));
         }
-        let life = self.boxes[to as usize].life;
-        self.fetched(to, life, at, true);
+        let incarnation = self.boxes[to as usize].incarnation;
+        self.fetched(to, incarnation, at, true);
     }
 
-    fn fetched(&mut self, to: u32, life: u32, at: u32, done: bool) {
+    fn fetched(&mut self, to: u32, incarnation: u32, at: u32, done: bool) {
         let one = &mut self.boxes[to as usize];
         let Some((job, _)) = &self.jobs[at as usize] else { return };
-        if one.life != life {
+        if one.incarnation != incarnation {
             self.drop_job(at);
             return;
         }
@@ -939,7 +943,7 @@
         let others = one.fetching.remove(&key).unwrap_or_default();
         if done {
             let version = self.origin.version(key);
-            self.boxes[to as usize].keep(key, version);
+            self.boxes[to as usize].store(key, version);
         }
         self.reply(at, status, Some(false));
         for other in others {
@@ -947,7 +951,7 @@
         }
     }
 
-    /// A box has an answer; it leaves in the order of its connection's requests.
+    /// A box has an answer; answers leave in the request order of the connection.
     fn reply(&mut self, at: u32, status: Status, hit: Option<bool>) {
         let Some((job, request)) = self.drop_job(at) else { return };
         let Some(c) = self.connections[job.connection].as_mut().filter(|c| c.serial == job.serial) else {
@@ -956,16 +960,16 @@
         };
         let (to, proxy, serial) = (c.to, c.proxy, c.serial);
         let status = match status {
-            Status::Ok => self.boxes[to as usize].spoilt(&mut self.work).unwrap_or(status),
+            Status::Ok => self.boxes[to as usize].output_fault(&mut self.work).unwrap_or(status),
             _ => status,
         };
-        let way = self.way(proxy, to);
+        let delay = self.network_delay(proxy, to);
         let Some(c) = &mut self.connections[job.connection] else { return };
         if status == Status::Reset {
-            self.at(self.now + way, Ev::Lost { connection: job.connection, serial });
+            self.schedule(self.now + delay, Ev::ConnectionLost { connection: job.connection, serial });
             return;
         }
-        let place = (job.place - c.base) as usize;
+        let place = (job.sequence - c.base) as usize;
         if let Some(answer) = c.answers.get_mut(place) {
             *answer = Some(Answer { status, hit, made_for: Some(request) });
         }
@@ -979,40 +983,41 @@
         let last = ready.len().saturating_sub(1);
         for (i, answer) in ready.into_iter().enumerate() {
             let alone = alone && i == last;
-            let more = if alone { self.boxes[to as usize].too_much(answer, &mut self.work) } else { None };
+            let more =
+                if alone { self.boxes[to as usize].unsolicited_bytes(answer, &mut self.work) } else { None };
             let with = more.filter(|(_, late)| *late == 0).map(|(more, _)| more);
-            self.at(self.now + way, Ev::Reply { connection, serial, answer, more: with });
+            self.schedule(self.now + delay, Ev::Reply { connection, serial, answer, more: with });
             if let Some((answer, late)) = more.filter(|(_, late)| *late > 0) {
-                self.at(self.now + way + late, Ev::Reply { connection, serial, answer, more: None });
+                self.schedule(self.now + delay + late, Ev::Reply { connection, serial, answer, more: None });
             }
         }
     }
 
-    fn knocked(&mut self, key: usize, serial: u64) {
+    fn accept_connection(&mut self, key: usize, serial: u64) {
         let Some(c) = self.connections[key].as_ref().filter(|c| c.serial == serial) else { return };
         let (proxy, to) = (c.proxy, c.to);
         if self.is_cut(proxy, to) {
-            self.stalled.push(Ev::Knock { connection: key, serial });
+            self.stalled.push(Ev::ConnectionRequest { connection: key, serial });
             return;
         }
-        let way = self.way(proxy, to);
+        let delay = self.network_delay(proxy, to);
         let one = &mut self.boxes[to as usize];
         if one.down || one.fallen {
-            self.at(self.now + way, Ev::Lost { connection: key, serial });
+            self.schedule(self.now + delay, Ev::ConnectionLost { connection: key, serial });
             return;
         }
         one.connections += 1;
-        let crowded = one.connections > one.connection_cap;
-        let life = one.life;
+        let over_connection_limit = one.connections > one.connection_cap;
+        let incarnation = one.incarnation;
         if let Some(c) = &mut self.connections[key] {
-            c.life = life;
+            c.incarnation = incarnation;
         }
-        if !crowded && one.silent == 0 {
-            // The work of the handshake competes with requests; the connection is up without it.
+        if !over_connection_limit && one.silent == 0 {
+            // The handshake's work competes with requests, but the connection is up without waiting for it.
             let job = Job {
                 connection: key,
                 serial,
-                place: 0,
+                sequence: 0,
                 key: 0,
                 write: None,
                 sent: self.now,
@@ -1021,84 +1026,89 @@
             let job = self.keep_job(job, u32::MAX);
             let one = &mut self.boxes[to as usize];
             if one.has_core() {
-                self.begin(to, job);
+                self.start_work(to, job);
             } else {
                 one.waiting.push_front(job);
             }
         }
-        self.at(self.now + way, Ev::Up { connection: key, serial, crowded });
+        self.schedule(self.now + delay, Ev::Connected { connection: key, serial, over_connection_limit });
     }
 
     // ---- the loop ----
 
     fn handle(&mut self, ev: Ev) {
-        let lives =
-            |sim: &Self, proxy: usize, life: u32| sim.hosts[proxy].alive && sim.hosts[proxy].life == life;
+        let is_current = |sim: &Self, proxy: usize, incarnation: u32| {
+            sim.hosts[proxy].alive && sim.hosts[proxy].incarnation == incarnation
+        };
         let is = |sim: &Self, key: usize, serial: u64| {
             sim.connections[key].as_ref().is_some_and(|c| c.serial == serial)
         };
         match ev {
-            Ev::Request(arrival) => self.asked(&arrival),
+            Ev::Request(arrival) => self.new_request(&arrival),
             Ev::Try(request) => self.try_now(request),
-            Ev::Reach { request, number, proxy, wait, doors } => {
+            Ev::AtProxy { request, number, proxy, wait, refused_by } => {
                 let r = &mut self.requests[request as usize];
-                if !r.waits || r.tries != number + 1 {
+                if !r.waiting || r.tries != number + 1 {
                     return;
                 }
                 if !self.hosts[proxy].alive {
-                    self.knock(request, number, wait, doors + 1);
+                    self.connect_to_proxy(request, number, wait, refused_by + 1);
                     return;
                 }
-                r.at = Some((proxy, self.hosts[proxy].life));
-                self.note(request, || format!("try {number} reaches proxy {proxy}"));
-                self.arrived(proxy, request, number, wait);
+                r.proxy = Some((proxy, self.hosts[proxy].incarnation));
+                self.record_history(request, || format!("try {number} reaches proxy {proxy}"));
+                self.handle_arrival(proxy, request, number, wait);
             }
-            Ev::Told { request, number, end } => self.told(request, number, end),
-            Ev::GiveUp { request, number } => self.told(request, number, End::Late),
-            Ev::Module { proxy, life, token } if lives(self, proxy, life) => {
+            Ev::ClientAnswered { request, number, end } => self.receive_answer(request, number, end),
+            Ev::ClientTimeout { request, number } => self.receive_answer(request, number, End::Late),
+            Ev::PolicyTimer { proxy, incarnation, token } if is_current(self, proxy, incarnation) => {
                 self.hosts[proxy].events.push_back(Event::Timer(token));
-                self.decide(proxy);
+                self.run_policy(proxy);
+            }
+            Ev::Deadline { proxy, incarnation, id } if is_current(self, proxy, incarnation) => {
+                self.deadline(proxy, id)
             }
-            Ev::Deadline { proxy, life, id } if lives(self, proxy, life) => self.deadline(proxy, id),
-            Ev::Attempt { proxy, life, id, attempt } if lives(self, proxy, life) => {
+            Ev::AttemptTimeout { proxy, incarnation, id, attempt }
+                if is_current(self, proxy, incarnation) =>
+            {
                 self.end_attempt(proxy, id, attempt, Status::Timeout);
-                self.decide(proxy);
+                self.run_policy(proxy);
             }
-            Ev::Connect { connection, serial } if is(self, connection, serial) => {
+            Ev::ConnectTimeout { connection, serial } if is(self, connection, serial) => {
                 let late = self.connections[connection].as_ref().filter(|c| !c.up).map(|c| c.proxy);
                 if let Some(proxy) = late {
                     self.close(connection);
-                    self.decide(proxy);
+                    self.run_policy(proxy);
                 }
             }
-            Ev::Knock { connection, serial } => self.knocked(connection, serial),
-            Ev::Up { connection, serial, crowded } if is(self, connection, serial) => {
+            Ev::ConnectionRequest { connection, serial } => self.accept_connection(connection, serial),
+            Ev::Connected { connection, serial, over_connection_limit } if is(self, connection, serial) => {
                 let Some(c) = &mut self.connections[connection] else { return };
-                (c.up, c.crowded) = (true, crowded);
+                (c.up, c.over_connection_limit) = (true, over_connection_limit);
                 let proxy = c.proxy;
                 self.connected(connection);
-                self.decide(proxy);
+                self.run_policy(proxy);
             }
-            Ev::Lost { connection, serial } if is(self, connection, serial) => {
+            Ev::ConnectionLost { connection, serial } if is(self, connection, serial) => {
                 let Some((proxy, to)) = self.connections[connection].as_ref().map(|c| (c.proxy, c.to)) else {
                     return;
                 };
                 if self.is_cut(proxy, to) {
-                    self.stalled.push(Ev::Lost { connection, serial });
+                    self.stalled.push(Ev::ConnectionLost { connection, serial });
                     return;
                 }
                 self.close(connection);
-                self.decide(proxy);
+                self.run_policy(proxy);
             }
-            Ev::Left { to, life } => {
+            Ev::ConnectionClosed { to, incarnation } => {
                 let one = &mut self.boxes[to as usize];
-                if one.life == life {
+                if one.incarnation == incarnation {
                     one.connections = one.connections.saturating_sub(1);
                 }
             }
             Ev::AtBox { job } => self.at_box(job),
-            Ev::Worked { to, life, job } => self.worked(to, life, job),
-            Ev::Ledger { to, job } => self.ledger(to, job),
+            Ev::BoxWorkDone { to, incarnation, job } => self.finish_work(to, incarnation, job),
+            Ev::OriginWorkDone { to, job } => self.finish_origin_work(to, job),
             Ev::Reply { connection, serial, answer, more } if is(self, connection, serial) => {
                 let Some((proxy, to)) = self.connections[connection].as_ref().map(|c| (c.proxy, c.to)) else {
                     return;
@@ -1107,30 +1117,30 @@
                     self.stalled.push(Ev::Reply { connection, serial, answer, more });
                     return;
                 }
-                self.replied(connection, answer, more);
+                self.handle_reply(connection, answer, more);
             }
             Ev::Reply { answer, .. } => self.wasted += u64::from(answer.status == Status::Ok),
-            Ev::Rested { connection, serial } if is(self, connection, serial) => {
+            Ev::Writable { connection, serial } if is(self, connection, serial) => {
                 let proxy = self.connections[connection].as_ref().map(|c| c.proxy);
                 self.flush(connection);
-                proxy.into_iter().for_each(|proxy| self.decide(proxy));
+                proxy.into_iter().for_each(|proxy| self.run_policy(proxy));
             }
-            Ev::List { proxy, life, kind, entries } if lives(self, proxy, life) => {
-                self.hear(proxy, kind, &entries);
+            Ev::List { proxy, incarnation, kind, entries } if is_current(self, proxy, incarnation) => {
+                self.receive_list(proxy, kind, &entries);
             }
             Ev::Publish(entries) => self.publish(&entries),
-            Ev::Do(op) => self.op(op),
+            Ev::Fault(op) => self.apply_op(op),
             Ev::Copy(step) => self.copy_step(step),
-            Ev::Second => self.second(),
+            Ev::Second => self.end_second(),
             _ => {}
         }
     }
 
-    fn second(&mut self) {
+    fn end_second(&mut self) {
         let now = self.now;
         let mut out = 0.0;
         for proxy in 0..self.hosts.len() {
-            self.sweep(proxy);
+            self.close_idle(proxy);
             let host = &self.hosts[proxy];
             out += host.policy.as_ref().map_or(0.0, |p| p.avoided(now) as f32);
         }
@@ -1140,13 +1150,13 @@
             s.connections = connections as u32;
             s.out = out / alive as f32;
         }
-        self.at(now + SECOND, Ev::Second);
+        self.schedule(now + SECOND, Ev::Second);
     }
 
     fn play(mut self, policy: &str) -> Summary {
         let last = self.scenario.traffic.read.deadline_ms.max(self.scenario.traffic.write.deadline_ms);
         let end = seconds(self.scenario.duration_s) + millis(last) + SECOND;
-        while let Some(Reverse(Item(at, _, ev))) = self.heap.pop() {
+        while let Some(Reverse(Scheduled(at, _, ev))) = self.heap.pop() {
             if at > end {
                 break;
             }
@@ -1154,10 +1164,10 @@
             self.events += 1;
             self.handle(ev);
         }
-        self.sum_up(policy)
+        self.summarize(policy)
     }
 
-    fn sum_up(mut self, policy: &str) -> Summary {
+    fn summarize(mut self, policy: &str) -> Summary {
         let mut gathered = Gathered::new(self.scenario, policy, self.seed, "model");
         for (second, counted) in gathered.summary.seconds.iter_mut().zip(&self.seconds) {
             *second = *counted;
@@ -1181,16 +1191,16 @@
             }
         }
         let there = self.boxes.iter().zip(&self.joined).filter(|(_, joined)| **joined);
-        let parts: Vec<f64> = there.map(|(b, _)| b.part(self.now)).collect();
+        let parts: Vec<f64> = there.map(|(b, _)| b.utilization(self.now)).collect();
         let s = &mut gathered.summary;
         (s.attempts, s.wasted, s.opened) = (self.all_attempts, self.wasted, self.all_opened);
         if let Some(copies) = &self.copies {
             (s.copies, s.copy_fetches, s.copy_fetches_peak) = copies.counts();
         }
-        (s.fetches, s.origin_busy) = (self.origin.fetches, self.origin.turned_away);
+        (s.fetches, s.origin_busy) = (self.origin.fetches, self.origin.rejected);
         s.boxes_busy = parts.iter().sum::<f64>() / parts.len().max(1) as f64;
         s.busiest_box = parts.iter().copied().fold(0.0, f64::max);
-        s.origin_part = self.origin.part(self.now);
+        s.origin_part = self.origin.utilization(self.now);
         (s.events, s.breaches) = (self.events, self.breaches.0);
         gathered.finish()
     }
