--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! Experiments: scenarios in the model and over sockets, sweeps, the knee, comparisons, reports, and a load tool. Who
-//! decides, and what a run comes to, is `model`'s; this crate reads files, uses all cores and prints.
+//! Experiments: scenarios in the model and over sockets, sweeps, the search for the highest load (the knee), comparisons,
+//! reports, and a load generator. The policies and the summary of a run belong to `model`; this crate reads files, runs
+//! simulations on all cores and prints results.
 
 mod campaign;
 mod compare;
@@ -20,7 +21,7 @@
 pub use compare::{paired, Difference};
 pub use results::{read, Record};
 
-/// Experiments with a fleet of proxies, in a model and over sockets.
+/// Experiments with a fleet of proxies, in a simulation model and over sockets.
 #[derive(Debug, Parser)]
 #[command(name = "trestlelab", version)]
 pub struct Cli {
@@ -30,70 +31,70 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Look at a scenario or a sweep, and tell all that is wrong with it.
+    /// Validate a scenario or a sweep, and list every problem in it.
     Check {
-        /// A file, or the name of a scenario that ships.
+        /// A file, or the name of a built-in scenario.
         file: String,
     },
-    /// Play a scenario once, and judge it: exit code 1 if a rule or what must hold was broken.
+    /// Run a scenario once and check it: exit code 1 if an invariant or a goal of the scenario was violated.
     Run(RunArgs),
-    /// Play a scenario over a matrix of parameters, policies and seeds, on all cores; goes on where it was stopped.
+    /// Run a scenario over a matrix of parameters, policies and seeds, on all cores; resumes an interrupted sweep.
     Sweep(sweep::Args),
-    /// Put load on real proxies, open loop: times count from when a request was meant to start.
+    /// Generate open-loop load on real proxies: latency counts from the intended start of each request.
     Load(load::Args),
-    /// Search for the highest load that keeps a goal.
+    /// Search for the highest load that meets a goal.
     Knee(knee::Args),
-    /// Play days of a bench outside of this repository over many seeds, and write one table.
+    /// Run an external bench over many kinds of days and seeds, and write one table.
     Campaign(campaign::Args),
     /// Compare two sets of results, paired by scenario, parameters and seed.
     Compare(compare::Args),
-    /// Write a page with plots of a folder of results.
+    /// Write an HTML page with plots from a folder of results.
     Report(report::Args),
-    /// List the scenarios that ship, each with what it guards, or print one.
+    /// List the built-in scenarios, each with what it checks, or print one.
     Scenarios {
-        /// Print the text of this one.
+        /// Print the text of this scenario.
         name: Option<String>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Place {
-    /// In virtual time.
+    /// The simulation model, in virtual time.
     Model,
-    /// With stand-ins and real proxies on loopback.
+    /// Real proxies with simulated boxes, on loopback sockets.
     Sockets,
 }
 
 #[derive(Debug, Args)]
 struct RunArgs {
-    /// A file, or the name of a scenario that ships.
+    /// A file, or the name of a built-in scenario.
     file: String,
-    /// Where to play it.
+    /// Where to run it.
     #[arg(long = "in", value_enum, default_value = "model")]
     place: Place,
-    /// The source of all chance.
+    /// Seed of the random source.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Who decides, in the model.
+    /// The policy, in the model.
     #[arg(long, default_value = "shipped")]
     policy: String,
-    /// Boxes, instead of the scenario's; proxies, the origin, discovery, keys and the load follow in proportion.
+    /// Number of boxes, in place of the scenario's; proxies, origin, discovery, keys and load scale in proportion.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     boxes: Option<u32>,
     /// Print one JSON object.
     #[arg(long)]
     json: bool,
-    /// The proxy to run, over sockets; by default the one beside this tool.
+    /// The proxy program to run over sockets; by default `trestlesill` in the folder of this tool.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Why the tool gives up.
+/// The reason why a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The input can't be used; each line says where and why.
+    /// The input is invalid; each line says where and why.
     Input(Vec<String>),
-    /// Something could not be read, written or run.
+    /// A file could not be read or written, or a program could not be run.
     Io(String),
 }
 
@@ -112,10 +113,10 @@
     }
 }
 
-/// Runs the tool. Exit codes: 0 all is well, 1 a rule or a goal was broken, 2 the input can't be used, 3 the measurement
-/// is void.
+/// Runs the tool. Exit codes: 0 success, 1 an invariant or a goal was violated, 2 the command failed, 3 the measurement
+/// is invalid because the load generator fell behind.
 pub fn command(cli: &Cli) -> ExitCode {
-    let done = match &cli.command {
+    let result = match &cli.command {
         Command::Check { file } => scenarios::check(file).map(|line| {
             println!("{line}");
             0
@@ -129,7 +130,7 @@
         Command::Report(args) => report::command(args),
         Command::Scenarios { name } => scenarios::list(name.as_deref()),
     };
-    match done {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(failure) => {
             eprintln!("{failure}");
@@ -152,37 +153,37 @@
     if args.json {
         println!("{}", serde_json::to_string(&summary).map_err(|e| Failure::Io(e.to_string()))?);
     } else {
-        print!("{}", in_words(&summary));
+        print!("{}", format_summary(&summary));
     }
-    let missed = missed(&scenario, &summary);
+    let missed = missed_goals(&scenario, &summary);
     for line in &missed {
         eprintln!("{line}");
     }
     Ok(u8::from(!summary.breaches.is_empty() || !missed.is_empty()))
 }
 
-/// What a scenario wants to hold and does not.
-pub(crate) fn missed(scenario: &Scenario, summary: &Summary) -> Vec<String> {
+/// The goals of a scenario that a run missed, one line each.
+pub(crate) fn missed_goals(scenario: &Scenario, summary: &Summary) -> Vec<String> {
     let mut missed = Vec::new();
-    let mut look = |what: &str, bad: bool, got: f64, wanted: f64| {
+    let mut check = |what: &str, bad: bool, got: f64, wanted: f64| {
         if bad {
             missed.push(format!("{}: {what} is {got:.4}, wanted {wanted}", summary.scenario));
         }
     };
-    let (share, attempts) = (summary.share(), summary.attempts_each());
+    let (in_time, attempts) = (summary.share(), summary.attempts_each());
     if let Some(least) = scenario.holds.in_time {
-        look("in_time", share < least, share, least);
+        check("in_time", in_time < least, in_time, least);
     }
     if let Some(most) = scenario.holds.p99_ms {
-        look("p99_ms", summary.p99_ms > most, summary.p99_ms, most);
+        check("p99_ms", summary.p99_ms > most, summary.p99_ms, most);
     }
     if let Some(most) = scenario.holds.attempts {
-        look("attempts", attempts > most, attempts, most);
+        check("attempts", attempts > most, attempts, most);
     }
     missed
 }
 
-fn in_words(s: &Summary) -> String {
+fn format_summary(s: &Summary) -> String {
     let mut out = format!(
         "{} by {} in the {}, seed {}\n  asked {}: in time {:.4}, late {}, refused {}, failed {}, unanswered {}\n  \
          worth in time {:.4}; {:.3} attempts a request, {} answers for nobody, {:.3} connections opened a request\n  \
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,6 +1,6 @@
-//! A load tool. Requests have their times from the start on, by chance at a steady rate, and their latency counts from
-//! there whatever the server does meanwhile: a stall shows in all requests that it held up (no coordinated omission).
-//! A closed loop, which hides that, is there to be compared with.
+//! An open-loop load generator. Requests arrive as a Poisson process at a fixed rate, and latency counts from the intended
+//! start even when the server is slow, so that a stall shows in every request that it delayed (no coordinated omission).
+//! A closed-loop mode, which hides such stalls, is available for comparison.
 
 use crate::Failure;
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -17,65 +17,65 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The tool is behind when more than 1% of its requests are this much later than meant because of itself.
-const BEHIND: Duration = Duration::from_millis(5);
-/// After the last request, answers are waited for as long as a request may wait, and this.
-const GRACE: Duration = Duration::from_millis(200);
-/// Requests that wait for a connection at a thread before more are counted as lost at once.
-const MOST_WAITING: usize = 1_000_000;
+/// The generator has fallen behind when it sends more than 1% of its requests later than intended by over this lag.
+const MAX_OWN_LAG: Duration = Duration::from_millis(5);
+/// A reply is awaited for the wait time of its class plus this.
+const REPLY_GRACE: Duration = Duration::from_millis(200);
+/// Requests that a thread queues for a connection; further ones count as lost at once.
+const MAX_WAITING: usize = 1_000_000;
 
-/// What to send, and where.
+/// The load to generate, and its targets.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Proxies; connections go to them in turn.
+    /// Addresses of proxies; connections are spread over them round-robin.
     #[arg(required = true)]
     pub addresses: Vec<SocketAddr>,
-    /// Requests a second, in all.
+    /// Requests per second, over all threads.
     #[arg(long, value_parser = positive)]
     pub rate: f64,
-    /// For so long.
+    /// Duration, in seconds.
     #[arg(long, value_parser = positive)]
     pub seconds: f64,
-    /// The source of all chance.
+    /// Seed of the random source.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Print one JSON object at the end.
     #[arg(long)]
     pub json: bool,
-    /// Threads.
+    /// Number of threads.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=256))]
     pub threads: u16,
-    /// Connections of all threads at the most.
+    /// Maximum number of connections, over all threads.
     #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u32).range(1..=60_000))]
     pub connections: u32,
-    /// Requests on a connection at once.
+    /// Maximum number of outstanding requests on a connection.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=128))]
     pub pipeline: u16,
-    /// The part of the answers after which a connection is closed and another opened.
-    #[arg(long, default_value_t = 0.0, value_parser = part)]
+    /// The fraction of replies after which the connection is closed and a new one opened.
+    #[arg(long, default_value_t = 0.0, value_parser = fraction)]
     pub churn: f64,
-    /// The part of the connections that speak RESP3.
-    #[arg(long, default_value_t = 0.0, value_parser = part)]
+    /// The fraction of connections that use RESP3.
+    #[arg(long, default_value_t = 0.0, value_parser = fraction)]
     pub resp3: f64,
-    /// A class as NAME:WAIT_MS:WEIGHT, with `:write` behind it for one that writes; may be given again.
+    /// A class as NAME:WAIT_MS:WEIGHT, followed by `:write` if its requests are writes; may be repeated.
     #[arg(long = "class", value_parser = class, default_values = ["pack-lookup:480:9", "swap-record:700:1:write"])]
     pub classes: Vec<Class>,
-    /// A tenant as NAME:WEIGHT; may be given again.
+    /// A tenant as NAME:WEIGHT; may be repeated.
     #[arg(long = "tenant", value_parser = tenant)]
     pub tenants: Vec<(String, f64)>,
-    /// Keys, all alike.
+    /// Number of keys, chosen uniformly.
     #[arg(long, default_value_t = 2_000, value_parser = clap::value_parser!(u64).range(1..))]
     pub keys: u64,
-    /// Bytes of a value that is written.
+    /// Size of a written value, in bytes.
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u32).range(1..=4_194_304))]
     pub value: u32,
-    /// An answer whose value does not begin with its key in hex is wrong, as with this project's stand-ins.
+    /// Count a reply to a read as wrong if its value does not contain the key in hex, as the values of testkit's boxes do.
     #[arg(long)]
     pub check_keys: bool,
-    /// Each connection asks again as soon as it has its answer, and the rate is only a bound: a closed loop.
+    /// Closed loop: each connection sends its next request as soon as it has the reply to the previous one.
     #[arg(long)]
     pub closed: bool,
-    /// Write the latencies here, as a log in HdrHistogram's format.
+    /// Write the latencies to this file, in the log format of HdrHistogram.
     #[arg(long)]
     pub hdr: Option<PathBuf>,
 }
@@ -93,7 +93,7 @@
     text.parse().ok().filter(|n: &f64| *n > 0.0 && *n <= 1e8).ok_or("must be a number above 0".into())
 }
 
-fn part(text: &str) -> Result<f64, String> {
+fn fraction(text: &str) -> Result<f64, String> {
     text.parse().ok().filter(|n| (0.0..=1.0).contains(n)).ok_or("must be 0 to 1".into())
 }
 
@@ -114,37 +114,37 @@
     Ok((name.into(), positive(weight)?))
 }
 
-/// What came of it. Times are milliseconds, from the intended start to the answer; what never came counts with the
-/// time that it was waited for.
+/// Result of a run. Latencies are in milliseconds, from the intended start to the reply; a request without a reply counts
+/// with the time for which it was awaited.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// Requests whose time came.
+    /// Requests whose intended start was reached.
     pub sent: u64,
-    /// Answered with a value or a receipt.
+    /// Answered with a value or a write acknowledgement.
     pub served: u64,
     /// Answered with `-BUSY`.
     pub refused: u64,
     /// Answered with another error.
     pub failed: u64,
-    /// Without an answer: the connection ended, or the wait was over.
+    /// Unanswered: the connection was closed, or the wait time passed.
     pub lost: u64,
-    /// What came is no reply, is nobody's, or is another key's.
+    /// Protocol errors, unsolicited replies, and replies with the value of another key.
     pub wrong: u64,
-    /// The tool itself was late: the figures are void.
+    /// The generator itself was late: the results are invalid.
     pub fell_behind: bool,
-    /// The 99th percentile of how late the tool was by itself.
+    /// 99th percentile of the generator's own lag.
     pub own_lag_p99_ms: f64,
     /// Connections opened.
     pub opened: u64,
-    /// The rate that came about.
+    /// Achieved rate, in requests per second.
     pub rate: f64,
-    /// The median.
+    /// Median latency.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
-    /// The 99.9th.
+    /// 99.9th percentile of the latency.
     pub p999_ms: f64,
-    /// The longest.
+    /// Maximum latency.
     pub max_ms: f64,
 }
 
@@ -162,10 +162,10 @@
 
 impl Tally {
     fn new() -> Self {
-        // Up to an hour in microseconds, three digits: these bounds fit.
+        // Latencies from 1 us to one hour, in microseconds, with three significant digits.
         let times = || {
             Histogram::new_with_bounds(1, 3_600_000_000, 3)
-                .unwrap_or_else(|_| unreachable!("bounds that fit"))
+                .unwrap_or_else(|_| unreachable!("constant histogram bounds are valid"))
         };
         let (times, lag) = (times(), times());
         Tally { sent: 0, served: 0, refused: 0, failed: 0, lost: 0, wrong: 0, opened: 0, times, lag }
@@ -179,12 +179,12 @@
         self.lost += other.lost;
         self.wrong += other.wrong;
         self.opened += other.opened;
-        // Both have the same bounds.
+        // Cannot fail: both histograms have the same bounds.
         let _ = self.times.add(&other.times);
         let _ = self.lag.add(&other.lag);
     }
 
-    fn took(&mut self, since: Instant, now: Instant) {
+    fn record_latency(&mut self, since: Instant, now: Instant) {
         self.times.saturating_record(now.saturating_duration_since(since).as_micros().max(1) as u64);
     }
 }
@@ -192,7 +192,7 @@
 #[derive(Clone, Debug)]
 struct Request {
     intended: Instant,
-    until: Instant,
+    deadline: Instant,
     class: usize,
     tenant: Option<usize>,
     key: u64,
@@ -207,19 +207,19 @@
     sent: VecDeque<Request>,
     out: Vec<u8>,
     written: usize,
-    ends: bool,
+    closing: bool,
 }
 
-/// A thread's part of the load.
+/// One thread of the load generator.
 struct Worker<'a> {
     args: &'a Args,
     number: usize,
-    chance: RandomSource,
-    /// Weights of the classes, and of the tenants.
+    random: RandomSource,
+    /// Weights of the classes (0) and of the tenants (1).
     weights: [Vec<f64>; 2],
     poll: Poll,
     connections: Vec<Option<Connection>>,
-    most: usize,
+    max_connections: usize,
     open: usize,
     next_address: usize,
     waiting: VecDeque<Request>,
@@ -235,20 +235,20 @@
         let _ = stream.set_nodelay(true);
         let key = self.connections.iter().position(Option::is_none).unwrap_or(self.connections.len());
         self.poll.registry().register(&mut stream, Token(key), Interest::READABLE | Interest::WRITABLE)?;
-        let three = self.chance.happens(self.args.resp3);
+        let resp3 = self.random.happens(self.args.resp3);
         let mut out = Vec::new();
-        if three {
+        if resp3 {
             out.extend_from_slice(b"*2\r\n$5\r\nHELLO\r\n$1\r\n3\r\n");
         }
         let connection = Connection {
             stream,
-            greeting: three.then(HelloReplyParser::default),
-            reader: ReplyReader::new(if three { Protocol::Three } else { Protocol::Two }),
+            greeting: resp3.then(HelloReplyParser::default),
+            reader: ReplyReader::new(if resp3 { Protocol::Three } else { Protocol::Two }),
             raw: Vec::new(),
             sent: VecDeque::new(),
             out,
             written: 0,
-            ends: false,
+            closing: false,
         };
         if key == self.connections.len() {
             self.connections.push(None);
@@ -267,7 +267,7 @@
             fields += &format!(",t={}", self.args.tenants[t].0);
         }
         if class.write {
-            // Each run's writes are their own: boxes drop a key that they have seen.
+            // The seed makes idempotency keys unique to a run: boxes ignore a write whose idempotency key they have seen.
             fields += &format!(",k={:x}-{id}", self.args.seed);
         }
         let name = if class.write { "CACHE.SET" } else { "CACHE.GET" };
@@ -284,20 +284,20 @@
         }
     }
 
-    /// Hands what waits to connections that have room.
+    /// Assigns waiting requests to connections with free pipeline slots, preferring idle and then new connections.
     fn assign(&mut self) {
         let depth = usize::from(self.args.pipeline);
         while !self.waiting.is_empty() {
-            let room = |c: &Connection| !c.ends && c.sent.len() < depth;
+            let has_room = |c: &Connection| !c.closing && c.sent.len() < depth;
             let all = self.connections.iter().enumerate();
-            let fit = all.filter_map(|(k, c)| c.as_ref().filter(|c| room(c)).map(|c| (k, c)));
+            let fit = all.filter_map(|(k, c)| c.as_ref().filter(|c| has_room(c)).map(|c| (k, c)));
             let best = fit.min_by_key(|(_, c)| c.sent.len()).map(|(k, c)| (k, c.sent.is_empty()));
             let key = match best {
                 Some((key, true)) => key,
-                other if self.open < self.most => match (self.connect(), other) {
+                other if self.open < self.max_connections => match (self.connect(), other) {
                     (Ok(()), _) => continue,
                     (Err(_), Some((key, _))) => key,
-                    // No connection at all: what waits ends when its time is up.
+                    // No connection is available: waiting requests expire at their deadlines.
                     (Err(_), None) => return,
                 },
                 Some((key, false)) => key,
@@ -322,7 +322,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => return,
                 Err(_) => {
-                    self.drop(key);
+                    self.close(key);
                     return;
                 }
             }
@@ -331,15 +331,15 @@
         c.written = 0;
     }
 
-    /// A connection is over; what it owes is lost.
-    fn drop(&mut self, key: usize) {
+    /// Closes a connection; its outstanding requests count as lost.
+    fn close(&mut self, key: usize) {
         let Some(c) = self.connections[key].take() else { return };
         self.open -= 1;
         let now = Instant::now();
         for request in c.sent {
             self.tally.lost += 1;
-            // What never came counts as long as it would have been waited for.
-            self.tally.took(request.intended, request.until.max(now));
+            // A request without a reply counts with the full time for which it would have been awaited.
+            self.tally.record_latency(request.intended, request.deadline.max(now));
         }
     }
 
@@ -347,10 +347,10 @@
         loop {
             let Some(c) = self.connections[key].as_mut() else { return };
             match c.stream.read(buffer) {
-                Ok(0) => return self.drop(key),
+                Ok(0) => return self.close(key),
                 Ok(n) => {
-                    if !self.input(key, &buffer[..n]) {
-                        return self.drop(key);
+                    if !self.handle_input(key, &buffer[..n]) {
+                        return self.close(key);
                     }
                     if n < buffer.len() {
                         return;
@@ -358,13 +358,13 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => return,
-                Err(_) => return self.drop(key),
+                Err(_) => return self.close(key),
             }
         }
     }
 
-    /// Takes replies; false if the connection can't go on.
-    fn input(&mut self, key: usize, mut input: &[u8]) -> bool {
+    /// Parses and counts replies; returns false if the connection must be closed.
+    fn handle_input(&mut self, key: usize, mut input: &[u8]) -> bool {
         while !input.is_empty() {
             let Some(c) = self.connections[key].as_mut() else { return true };
             if let Some(greeting) = &mut c.greeting {
@@ -374,7 +374,7 @@
                 };
                 input = &input[used..];
                 if let Some(answer) = answer {
-                    // A server that refuses goes on in RESP2.
+                    // A server that rejects HELLO 3 continues in RESP2.
                     c.reader = ReplyReader::new(*answer.as_ref().unwrap_or(&Protocol::Two));
                     c.greeting = None;
                 }
@@ -402,44 +402,45 @@
                 return false;
             };
             let now = Instant::now();
-            self.tally.took(request.intended, now);
+            self.tally.record_latency(request.intended, now);
             let hex = format!("{:016x}", request.key);
-            let crossed = self.args.check_keys
+            let wrong_key = self.args.check_keys
                 && reply.kind == ReplyKind::Served
                 && !self.args.classes[request.class].write
                 && !raw.windows(hex.len()).any(|w| w == hex.as_bytes());
             match reply.kind {
-                _ if crossed => self.tally.wrong += 1,
+                _ if wrong_key => self.tally.wrong += 1,
                 ReplyKind::Served => self.tally.served += 1,
                 ReplyKind::Busy => self.tally.refused += 1,
                 ReplyKind::Failed => self.tally.failed += 1,
             }
-            c.ends |= self.chance.happens(self.args.churn);
-            if c.ends && c.sent.is_empty() {
+            c.closing |= self.random.happens(self.args.churn);
+            if c.closing && c.sent.is_empty() {
                 return false;
             }
         }
         true
     }
 
-    /// What has waited its time is lost, and its connection with it: its answer may yet come.
+    /// Counts requests past their deadline as lost. A connection with such a request is closed, since a late reply may still
+    /// arrive on it.
     fn expire(&mut self, now: Instant) {
-        while let Some(request) = self.waiting.front().filter(|r| r.until <= now).cloned() {
+        while let Some(request) = self.waiting.front().filter(|r| r.deadline <= now).cloned() {
             self.waiting.pop_front();
             self.tally.lost += 1;
-            self.tally.took(request.intended, now);
+            self.tally.record_latency(request.intended, now);
         }
         for key in 0..self.connections.len() {
-            let over = |c: &Connection| c.sent.front().is_some_and(|r| r.until <= now);
-            if self.connections[key].as_ref().is_some_and(over) {
-                self.drop(key);
+            let overdue = |c: &Connection| c.sent.front().is_some_and(|r| r.deadline <= now);
+            if self.connections[key].as_ref().is_some_and(overdue) {
+                self.close(key);
             }
         }
     }
 
-    fn draw(&mut self, of: usize) -> usize {
+    fn draw_weighted(&mut self, of: usize) -> usize {
         let weights = &self.weights[of];
-        let mut left = self.chance.unit() * weights.iter().sum::<f64>();
+        let mut left = self.random.unit() * weights.iter().sum::<f64>();
         weights
             .iter()
             .position(|w| {
@@ -449,17 +450,17 @@
             .unwrap_or(weights.len() - 1)
     }
 
-    fn request(&mut self, intended: Instant) {
-        let class = self.draw(0);
-        let tenant = (!self.args.tenants.is_empty()).then(|| self.draw(1));
-        let key = self.chance.below(self.args.keys as usize) as u64;
+    fn enqueue_request(&mut self, intended: Instant) {
+        let class = self.draw_weighted(0);
+        let tenant = (!self.args.tenants.is_empty()).then(|| self.draw_weighted(1));
+        let key = self.random.below(self.args.keys as usize) as u64;
         self.count += 1;
         self.tally.sent += 1;
-        let until = intended + self.args.classes[class].wait + GRACE;
-        let request = Request { intended, until, class, tenant, key, number: self.count };
-        if self.waiting.len() >= MOST_WAITING {
+        let deadline = intended + self.args.classes[class].wait + REPLY_GRACE;
+        let request = Request { intended, deadline, class, tenant, key, number: self.count };
+        if self.waiting.len() >= MAX_WAITING {
             self.tally.lost += 1;
-            self.tally.took(intended, until);
+            self.tally.record_latency(intended, deadline);
         } else {
             self.waiting.push_back(request);
         }
@@ -468,27 +469,27 @@
     fn run(mut self, start: Instant) -> io::Result<Tally> {
         let gap = f64::from(self.args.threads) / self.args.rate;
         let end = start + Duration::from_secs_f64(self.args.seconds);
-        let longest = self.args.classes.iter().map(|c| c.wait).max().unwrap_or_default() + GRACE;
-        let mut due = start + Duration::from_secs_f64(gap * self.chance.exponential());
+        let longest = self.args.classes.iter().map(|c| c.wait).max().unwrap_or_default() + REPLY_GRACE;
+        let mut due = start + Duration::from_secs_f64(gap * self.random.exponential());
         let (mut events, mut buffer) = (Events::with_capacity(1024), vec![0; 64 << 10]);
-        let mut looked = start;
+        let mut last_expiry = start;
         loop {
             let now = Instant::now();
             if self.args.closed {
-                while now < end && self.waiting.is_empty() && self.free() > 0 {
-                    self.request(Instant::now());
+                while now < end && self.waiting.is_empty() && self.free_slots() > 0 {
+                    self.enqueue_request(Instant::now());
                     self.assign();
                 }
             } else {
                 while due <= now && due < end {
                     self.tally.lag.saturating_record(now.duration_since(due).as_micros().max(1) as u64);
-                    self.request(due);
-                    due += Duration::from_secs_f64(gap * self.chance.exponential());
+                    self.enqueue_request(due);
+                    due += Duration::from_secs_f64(gap * self.random.exponential());
                 }
             }
             self.assign();
-            if now.duration_since(looked) >= Duration::from_millis(10) {
-                looked = now;
+            if now.duration_since(last_expiry) >= Duration::from_millis(10) {
+                last_expiry = now;
                 self.expire(now);
             }
             let idle =
@@ -497,7 +498,7 @@
                 self.expire(now + longest);
                 return Ok(self.tally);
             }
-            // The kernel's timer counts in milliseconds: the last of them is spent looking.
+            // The poll timeout has a resolution of one millisecond, so the last millisecond is spent polling.
             let next = if self.args.closed || due >= end {
                 Duration::from_millis(5)
             } else {
@@ -518,34 +519,34 @@
         }
     }
 
-    /// Requests that connections could take now.
-    fn free(&self) -> usize {
+    /// Number of requests that could be sent now, on open and on new connections.
+    fn free_slots(&self) -> usize {
         let depth = usize::from(self.args.pipeline);
-        let there: usize = self.connections.iter().flatten().map(|c| depth - c.sent.len().min(depth)).sum();
-        there + (self.most - self.open) * depth
+        let on_open: usize = self.connections.iter().flatten().map(|c| depth - c.sent.len().min(depth)).sum();
+        on_open + (self.max_connections - self.open) * depth
     }
 }
 
-/// Puts the load on.
+/// Runs the load generator.
 ///
 /// # Errors
-/// A thread's readiness queue can't be had.
+/// A thread could not create its poll instance, or ended abnormally.
 pub fn run(args: &Args) -> Result<(Outcome, Histogram<u64>), Failure> {
     let start = Instant::now() + Duration::from_millis(20);
     let threads = usize::from(args.threads);
-    let most = (args.connections as usize / threads).max(1);
+    let max_connections = (args.connections as usize / threads).max(1);
     let worker = |number: usize| -> io::Result<Tally> {
         let worker = Worker {
             args,
             number,
-            chance: RandomSource::new(args.seed, number as u64),
+            random: RandomSource::new(args.seed, number as u64),
             weights: [
                 args.classes.iter().map(|c| c.weight).collect(),
                 args.tenants.iter().map(|t| t.1).collect(),
             ],
             poll: Poll::new()?,
             connections: Vec::new(),
-            most,
+            max_connections,
             open: 0,
             next_address: number,
             waiting: VecDeque::new(),
@@ -556,12 +557,12 @@
     };
     let tallies: Vec<io::Result<Tally>> = std::thread::scope(|s| {
         let all: Vec<_> = (0..threads).map(|n| s.spawn(move || worker(n))).collect();
-        let panicked = || io::Error::other("a thread ended by itself");
+        let panicked = || io::Error::other("a load thread panicked");
         all.into_iter().map(|t| t.join().unwrap_or_else(|_| Err(panicked()))).collect()
     });
     let mut all = Tally::new();
     for tally in tallies {
-        all.add(&tally.map_err(|e| Failure::Io(format!("the load can't be put on: {e}")))?);
+        all.add(&tally.map_err(|e| Failure::Io(format!("load generator failed: {e}")))?);
     }
     let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
     let lag = ms(&all.lag, 0.99);
@@ -572,7 +573,7 @@
         failed: all.failed,
         lost: all.lost,
         wrong: all.wrong,
-        fell_behind: !args.closed && lag > BEHIND.as_secs_f64() * 1e3,
+        fell_behind: !args.closed && lag > MAX_OWN_LAG.as_secs_f64() * 1e3,
         own_lag_p99_ms: lag,
         opened: all.opened,
         rate: all.sent as f64 / args.seconds,
@@ -584,8 +585,8 @@
     Ok((outcome, all.times))
 }
 
-/// A log that HdrHistogram's other tools read: one interval, in microseconds.
-fn log(times: &Histogram<u64>, seconds: f64) -> Result<String, String> {
+/// A log for the tools of HdrHistogram, with one interval, in microseconds.
+fn hdr_log(times: &Histogram<u64>, seconds: f64) -> Result<String, String> {
     let mut bytes = Vec::new();
     V2DeflateSerializer::new().serialize(times, &mut bytes).map_err(|e| format!("{e:?}"))?;
     Ok(format!(
@@ -596,17 +597,17 @@
     ))
 }
 
-/// Writes the log of times that is asked for, if one is.
+/// Writes the latency log, if `--hdr` was given.
 ///
 /// # Errors
-/// It can't be written.
+/// The file can't be written.
 pub fn keep(args: &Args, times: &Histogram<u64>) -> Result<(), Failure> {
     let Some(path) = &args.hdr else { return Ok(()) };
-    let text = log(times, args.seconds).map_err(Failure::Io)?;
+    let text = hdr_log(times, args.seconds).map_err(Failure::Io)?;
     std::fs::write(path, text).map_err(|e| Failure::io("can't be written", path, e))
 }
 
-/// Puts the load on, and prints what came of it.
+/// Runs the load generator and prints the result.
 pub fn command(args: &Args) -> Result<u8, Failure> {
     let (o, times) = run(args)?;
     keep(args, &times)?;
@@ -631,7 +632,7 @@
         );
     }
     if o.fell_behind {
-        eprintln!("the load tool fell behind: 1% of its requests went out {:.1} ms late or more, by itself; the figures are void", o.own_lag_p99_ms);
+        eprintln!("the load tool fell behind: it sent 1% of its requests at least {:.1} ms late; the results are invalid", o.own_lag_p99_ms);
         return Ok(3);
     }
     Ok(u8::from(o.wrong > 0))
