--- a/crates/lab/src/campaign.rs
+++ b/crates/lab/src/campaign.rs
@@ -1,7 +1,7 @@
-//! Campaigns: kinds of days by seeds, played by a bench that stands outside of this repository, side by side, and put
-//! into one table. The bench is called as its users call it (`PROGRAM SITE --rough KIND --seed N`), once a play, in the
-//! checkout that is measured; what came of a play is read from the entry that it leaves in `journal/`, whose name it
-//! prints last (`snapshot ID`).
+//! Campaigns: runs an external bench over a matrix of kinds of days and seeds, in parallel, and collects the results in
+//! one table. The bench is called once per play, with its normal command line (`PROGRAM SITE --rough KIND --seed N`), in
+//! the checkout to measure. The result is read from the entry that the bench writes to `journal/`, whose name it prints
+//! last (`snapshot ID`).
 
 use crate::results::{Book, Line};
 use crate::Failure;
@@ -12,81 +12,81 @@
 use std::process::Command;
 use std::sync::Mutex;
 
-/// What to play.
+/// The plays of a campaign.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// The bench's program.
+    /// The program of the bench.
     #[arg(long)]
     bench: PathBuf,
-    /// Its description of the site.
+    /// The site description for the bench.
     #[arg(long)]
     site: PathBuf,
-    /// Kinds of days, with commas between.
+    /// Kinds of days, separated by commas.
     #[arg(long, value_delimiter = ',', required = true)]
     kinds: Vec<String>,
-    /// Seeds, with commas between.
+    /// Seeds, separated by commas.
     #[arg(long, value_delimiter = ',', required = true)]
     seeds: Vec<u64>,
-    /// Plays of each kind and seed.
+    /// Number of plays of each kind and seed.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100))]
     plays: u32,
-    /// A smaller day, with so many proxies.
+    /// Run a smaller day, with this number of proxies.
     #[arg(long)]
     nodes: Option<u32>,
-    /// Plays side by side; a whole day keeps about three cores busy.
+    /// Number of parallel plays; a full-size day keeps about three cores busy.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=64))]
     lanes: u32,
-    /// Another checkout, built: the same days are played there too, and differences beyond noise are told.
+    /// Another checkout, already built: the same days run there too, and differences beyond noise are reported.
     #[arg(long)]
     against: Option<PathBuf>,
-    /// The bench's note on the plays: why they are played.
+    /// The reason for the plays, which the bench records.
     #[arg(long)]
     why: String,
-    /// JSON Lines, a play each; one that is there already is not played again.
+    /// Results file in JSON Lines, one play per line; recorded plays are not repeated.
     #[arg(long)]
     out: PathBuf,
 }
 
-/// What came of a play.
+/// Result of a play.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Play {
     /// `here`, or `there` for the other checkout.
     pub side: String,
-    /// The day's kind.
+    /// Kind of the day.
     pub kind: String,
-    /// Its seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// Proxies, if it was a smaller day.
+    /// Number of proxies, for a smaller day.
     pub nodes: Option<u32>,
-    /// Which of the plays, from 1.
+    /// Number of the play, from 1.
     pub play: u32,
-    /// The part of the worth that was served, before prices, and what the gate wants of it.
+    /// The fraction of the worth that was served, before prices; `wanted` is the minimum that the gate requires.
     pub served: f64,
     /// See `served`.
     pub wanted: f64,
-    /// The same for each class: its name, served, wanted.
+    /// For each class: name, fraction served, minimum required.
     pub classes: Vec<(String, f64, f64)>,
-    /// After prices, and the best that is known for the day.
+    /// The value G after prices; `top` is the best value known for the day.
     pub g: f64,
     /// See `g`.
     pub top: f64,
-    /// The day's score.
+    /// Score of the day.
     pub score: f64,
-    /// Points of G that each price took.
+    /// The amount that each price deducts from G.
     pub prices: BTreeMap<String, f64>,
-    /// The most memory of a proxy and the bound, in MB; the most descriptors and the bound.
+    /// Maximum memory of a proxy and its limit, in MB; `files` is the maximum number of file descriptors and its limit.
     pub memory: (f64, f64),
     /// See `memory`.
     pub files: (f64, f64),
-    /// Rules that were broken, with how often; and what crashed.
+    /// Broken rules, each with its count, and faults that the bench reported.
     pub broken: Vec<String>,
-    /// The bench's name for its entry.
+    /// Name of the entry in the bench's journal.
     pub snapshot: String,
 }
 
 impl Line for Play {}
 
-/// The parts of an entry of the journal that are read.
+/// The fields of a journal entry that are read.
 #[derive(Debug, Deserialize)]
 struct Entry {
     #[serde(default)]
@@ -117,8 +117,8 @@
 }
 
 impl Play {
-    /// The clause of the gate that is kept most narrowly: its name, and how many times what is wanted there is (or, for
-    /// bounds, how many times it would fit).
+    /// The clause of the gate with the smallest margin: its name, and the ratio of value to required minimum (for limits,
+    /// of limit to value).
     pub fn closest(&self) -> (String, f64) {
         let times = |has: f64, wants: f64| if wants > 0.0 { has / wants } else { f64::INFINITY };
         let served = ("served".to_owned(), times(self.served, self.wanted));
@@ -129,12 +129,12 @@
         all.fold(served, |least, one| if one.1 < least.1 { one } else { least })
     }
 
-    fn cell(&self) -> (String, u64, Option<u32>) {
+    fn day_key(&self) -> (String, u64, Option<u32>) {
         (self.kind.clone(), self.seed, self.nodes)
     }
 }
 
-/// The prices as the report has them: `prices: name 0.1, other 0.2`.
+/// Parses the line of prices in a report: `prices: name 0.1, other 0.2`.
 fn prices(report: &str) -> BTreeMap<String, f64> {
     let line = report.lines().find_map(|l| l.trim().strip_prefix("prices:"));
     let pairs = line.unwrap_or_default().split(',').filter_map(|pair| {
@@ -144,16 +144,16 @@
     pairs.collect()
 }
 
-/// How far a campaign is.
+/// Progress of a campaign.
 struct Progress {
-    /// What is still to be played, the next one last.
+    /// Remaining plays, the next one last.
     tasks: Vec<Task>,
     book: Book,
     plays: Vec<Play>,
     failed: Vec<String>,
 }
 
-/// One play, still to be done.
+/// A play that has not run yet.
 #[derive(Clone, Debug)]
 struct Task {
     side: &'static str,
@@ -163,15 +163,15 @@
     play: u32,
 }
 
-/// Reads what came of a play from what the bench printed and from the entry that this names.
+/// Reads the result of a play from the journal entry that is named in the bench's output.
 fn outcome(args: &Args, task: &Task, printed: &str) -> Result<Play, String> {
     let snapshot = printed.lines().rev().find_map(|l| l.trim().strip_prefix("snapshot "));
-    let snapshot = snapshot.ok_or("the bench names no entry of its journal")?.to_owned();
+    let snapshot = snapshot.ok_or("the bench printed no line `snapshot ID`")?.to_owned();
     let folder = task.checkout.join("journal");
     let ends = format!("-{snapshot}.json");
     let named = |e: &std::fs::DirEntry| e.file_name().to_string_lossy().ends_with(&ends);
     let entries = std::fs::read_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let entry = entries.flatten().find(named).ok_or(format!("the journal has no entry {snapshot}"))?;
+    let entry = entries.flatten().find(named).ok_or(format!("journal entry {snapshot} not found"))?;
     let text =
         std::fs::read_to_string(entry.path()).map_err(|e| format!("{}: {e}", entry.path().display()))?;
     let entry: Entry = serde_json::from_str(&text).map_err(|e| format!("entry {snapshot}: {e}"))?;
@@ -181,7 +181,7 @@
     let day = entry.days.into_iter().next().ok_or(format!("entry {snapshot} has no day"))?;
     let rules = day.rules.iter().filter(|(_, times)| **times > 0);
     let broken = rules.map(|(rule, times)| format!("{rule} {times} times"));
-    let told = |value: &Option<serde_json::Value>| {
+    let texts = |value: &Option<serde_json::Value>| {
         value.iter().filter(|v| !v.is_null()).map(|v| v.to_string().replace('"', "")).collect::<Vec<_>>()
     };
     let cap = |i: usize| day.caps.get(i).copied().unwrap_or(0.0);
@@ -200,7 +200,7 @@
         prices: prices(&entry.digest),
         memory: (day.memory_mb, cap(0)),
         files: (day.files, cap(1)),
-        broken: broken.chain(told(&day.fault)).chain(told(&day.gate)).collect(),
+        broken: broken.chain(texts(&day.fault)).chain(texts(&day.gate)).collect(),
         snapshot,
     })
 }
@@ -212,7 +212,7 @@
     args.nodes.iter().for_each(|n| {
         command.args(["--nodes", &n.to_string()]);
     });
-    // Both sides are built before: two builds in one folder would wait for each other in the middle of a play.
+    // Both checkouts are built beforehand: parallel builds in one folder would block each other during a play.
     command.args(["--no-build", "--why", &args.why]);
     let out = command.output().map_err(|e| format!("{}: {e}", args.bench.display()))?;
     let printed = String::from_utf8_lossy(&out.stdout);
@@ -222,14 +222,14 @@
     })
 }
 
-/// Two sides of a day differ beyond noise: each was played twice or more, and no score of one lies among the other's.
+/// Whether two sides differ beyond noise: each has at least two plays, and their ranges of scores do not overlap.
 fn differ(here: &[f64], there: &[f64]) -> bool {
     let least = |all: &[f64]| all.iter().copied().fold(f64::INFINITY, f64::min);
     let most = |all: &[f64]| all.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     here.len() > 1 && there.len() > 1 && (least(here) > most(there) || least(there) > most(here))
 }
 
-/// The table of all plays, and below it the days on which the sides differ beyond noise.
+/// The table of all plays, followed by the days on which the sides differ beyond noise.
 pub fn table(plays: &[Play]) -> String {
     let mut out = String::from(
         "| day | seed | proxies | side | served | wanted | G | top | score | prices | closest | rules |\n\
@@ -259,10 +259,10 @@
             prices.join(", "),
         );
     }
-    let cells: BTreeSet<_> = sorted.iter().map(|p| p.cell()).collect();
+    let cells: BTreeSet<_> = sorted.iter().map(|p| p.day_key()).collect();
     for cell in cells {
         let scores = |side: &str| -> Vec<f64> {
-            let of = sorted.iter().filter(|p| p.side == side && p.cell() == cell);
+            let of = sorted.iter().filter(|p| p.side == side && p.day_key() == cell);
             of.map(|p| p.score).collect()
         };
         let (here, there) = (scores("here"), scores("there"));
@@ -273,28 +273,28 @@
     out
 }
 
-/// Plays what is missing, prints the table; 1 if a rule was broken or something crashed.
+/// Runs the missing plays and prints the table; returns 1 if a rule was broken or a fault was reported on side `here`.
 pub fn command(args: &Args) -> Result<u8, Failure> {
-    let here = std::env::current_dir().map_err(|e| Failure::Io(format!("this folder: {e}")))?;
+    let here = std::env::current_dir().map_err(|e| Failure::Io(format!("current directory: {e}")))?;
     let mut sides = vec![("here", here)];
     if let Some(other) = &args.against {
         let other = other.canonicalize().map_err(|e| Failure::io("is not there", other, e))?;
         sides.push(("there", other));
     }
-    let mut bad: Vec<String> = Vec::new();
+    let mut problems: Vec<String> = Vec::new();
     for (name, path) in [("--bench", &args.bench), ("--site", &args.site)] {
         if !path.is_file() {
-            bad.push(format!("{name}: {} is no file", path.display()));
+            problems.push(format!("{name}: {} is not a file", path.display()));
         }
     }
     for (_, folder) in sides.iter().filter(|(_, f)| !f.join("deploy/balancer.toml").is_file()) {
-        bad.push(format!(
-            "{}: has no deploy/balancer.toml: it is no checkout that the bench plays",
+        problems.push(format!(
+            "{}: deploy/balancer.toml not found: not a checkout that the bench can run",
             folder.display()
         ));
     }
-    if !bad.is_empty() {
-        return Err(Failure::Input(bad));
+    if !problems.is_empty() {
+        return Err(Failure::Input(problems));
     }
     let (book, plays) = Book::open::<Play>(&args.out)?;
     let mut tasks = Vec::new();
@@ -302,10 +302,10 @@
         for seed in &args.seeds {
             for kind in &args.kinds {
                 for (side, checkout) in &sides {
-                    let there = |p: &Play| {
+                    let recorded = |p: &Play| {
                         (&*p.side, &p.kind, p.seed, p.nodes, p.play) == (*side, kind, *seed, args.nodes, play)
                     };
-                    if !plays.iter().any(there) {
+                    if !plays.iter().any(recorded) {
                         let (checkout, kind) = (checkout.clone(), kind.clone());
                         tasks.push(Task { side, checkout, kind, seed: *seed, play });
                     }
@@ -320,17 +320,17 @@
         for _ in 0..args.lanes {
             scope.spawn(|| loop {
                 let Some(task) = lock().tasks.pop() else { return };
-                let came = play(args, &task);
-                let mut all = lock();
-                match came {
+                let result = play(args, &task);
+                let mut progress = lock();
+                match result {
                     Ok(play) => {
                         eprintln!("{} {} ({}): {:.2}", play.kind, play.seed, play.side, play.score);
-                        if let Err(e) = all.book.add(&play) {
-                            all.failed.push(e.to_string());
+                        if let Err(e) = progress.book.add(&play) {
+                            progress.failed.push(e.to_string());
                         }
-                        all.plays.push(play);
+                        progress.plays.push(play);
                     }
-                    Err(e) => all.failed.push(e),
+                    Err(e) => progress.failed.push(e),
                 }
             });
         }
@@ -348,7 +348,7 @@
 mod tests {
     use super::*;
 
-    fn one(side: &str, play: u32, score: f64) -> Play {
+    fn sample_play(side: &str, play: u32, score: f64) -> Play {
         Play {
             side: side.into(),
             kind: "join+mass".into(),
@@ -370,22 +370,26 @@
     }
 
     #[test]
-    fn the_closest_clause_is_the_one_with_the_least_to_spare() {
-        assert_eq!(one("here", 1, 0.8).closest(), ("a".into(), 0.3 / 0.2));
-        let mut full = one("here", 1, 0.8);
+    fn the_closest_clause_has_the_smallest_margin() {
+        assert_eq!(sample_play("here", 1, 0.8).closest(), ("a".into(), 0.3 / 0.2));
+        let mut full = sample_play("here", 1, 0.8);
         full.files = (500.0, 512.0);
         assert_eq!(full.closest().0, "descriptors");
     }
 
     #[test]
-    fn sides_differ_only_where_no_play_of_one_lies_among_the_others() {
+    fn sides_differ_only_if_their_score_ranges_do_not_overlap() {
         let plays = |scores: [f64; 4]| {
             let sides = [("here", 1), ("here", 2), ("there", 1), ("there", 2)];
-            sides.iter().zip(scores).map(|((side, n), score)| one(side, *n, score)).collect::<Vec<_>>()
+            sides
+                .iter()
+                .zip(scores)
+                .map(|((side, n), score)| sample_play(side, *n, score))
+                .collect::<Vec<_>>()
         };
         assert!(table(&plays([0.9, 0.8, 0.7, 0.6])).contains("beyond noise"));
         assert!(!table(&plays([0.9, 0.65, 0.7, 0.6])).contains("beyond noise"));
-        let told = table(&plays([0.9, 0.8, 0.7, 0.6])[..3]);
-        assert!(!told.contains("beyond noise") && told.contains("origin 0.046, waste 0.003"), "{told}");
+        let text = table(&plays([0.9, 0.8, 0.7, 0.6])[..3]);
+        assert!(!text.contains("beyond noise") && text.contains("origin 0.046, waste 0.003"), "{text}");
     }
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,5 +1,5 @@
-//! A scenario over real sockets: the stand-ins of `testkit` in one thread, real proxies, and the very requests that the
-//! model would be asked.
+//! Runs a scenario over real sockets: real proxies, the simulated boxes of `testkit` in one thread, and the same sequence
+//! of requests as in the model.
 
 use crate::Failure;
 use model::{Arrivals, Breach, Ended, Fault, Gathered, Rule, Scenario, Summary};
@@ -9,13 +9,15 @@
 use std::time::{Duration, Instant};
 use testkit::process::{free_port, Folder, Instance};
 use testkit::world::{
-    Asked, BoxConfig, End, Fault as Wrong, Load, Mode, Plan, Script, Target, World, WorldConfig,
+    Asked, BoxConfig, End, Fault as BoxFault, Load, Mode, Plan, Script, Target, World, WorldConfig,
 };
 
-/// A proxy answers `PING` within this.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// What one thread of stand-ins and a machine of few cores can play.
-const MOST: (usize, usize, f64) = (64, 400, 5_000.0);
+/// Time for a proxy to start and answer `PING`.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+// Limits of a run over sockets: one thread simulates all boxes, on a machine with few cores.
+const MAX_PROXIES: usize = 64;
+const MAX_BOXES: usize = 400;
+const MAX_REQUESTS_PER_S: f64 = 5_000.0;
 
 fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
@@ -25,36 +27,39 @@
     Duration::from_secs_f64(ms / 1e3)
 }
 
-/// What is done to proxies, and when.
+/// A step in the lifecycle of the proxies.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Kill(usize),
     Start(usize),
-    /// The front has learned of it.
+    /// The front end adds (true) or removes (false) a proxy.
     Front(usize, bool),
 }
 
-/// The parts that stand-ins play; what they can't is told all at once.
+/// The fault script for the simulated boxes, and the timed steps for the proxies. An error lists everything in the scenario
+/// that can't be run over sockets.
 fn plan(scenario: &Scenario, seed: u64) -> Result<(Script, Vec<(Duration, Step)>), Failure> {
     let mut problems = Vec::new();
     let t = &scenario.topology;
-    for (what, is, most) in [
-        ("topology.proxies", t.proxies as f64, MOST.0 as f64),
-        ("topology.boxes", t.boxes as f64, MOST.1 as f64),
-        ("traffic.rate", scenario.traffic.rate, MOST.2),
+    for (key, value, max) in [
+        ("topology.proxies", t.proxies as f64, MAX_PROXIES as f64),
+        ("topology.boxes", t.boxes as f64, MAX_BOXES as f64),
+        ("traffic.rate", scenario.traffic.rate, MAX_REQUESTS_PER_S),
     ] {
-        if is > most {
-            problems.push(format!("{what}: is {is}, over sockets {most} at the most"));
+        if value > max {
+            problems.push(format!("{key}: is {value}, the maximum over sockets is {max}"));
         }
     }
     if scenario.origin.fall_multiple > 0.0 {
-        problems.push("origin.fall_multiple: the stand-ins' origin does not fall".into());
+        problems.push(
+            "origin.fall_multiple: must be 0 over sockets: the simulated origin has no overload model".into(),
+        );
     }
     let (mut script, mut steps) = (Script::new(), Vec::new());
     for (number, f) in scenario.faults(seed).iter().enumerate() {
         let (at, lasts) = (secs(f.at_s), f.lasts_s.map(secs));
         let boxes = |w: &model::Which| w.of(seed, number as u64, t.boxes);
-        let mut add = |fault: Wrong| {
+        let mut add = |fault: BoxFault| {
             let next = std::mem::take(&mut script);
             script = match lasts {
                 Some(lasts) => next.then(at, lasts, fault),
@@ -62,26 +67,26 @@
             };
         };
         match &f.fault {
-            Fault::Silent { boxes: w } => boxes(w).into_iter().for_each(|b| add(Wrong::Silent(b))),
-            Fault::Down { boxes: w } => boxes(w).into_iter().for_each(|b| add(Wrong::Down(b))),
+            Fault::Silent { boxes: w } => boxes(w).into_iter().for_each(|b| add(BoxFault::Silent(b))),
+            Fault::Down { boxes: w } => boxes(w).into_iter().for_each(|b| add(BoxFault::Down(b))),
             Fault::Resets { boxes: w, part } => {
-                boxes(w).into_iter().for_each(|b| add(Wrong::Resets(b, *part)))
+                boxes(w).into_iter().for_each(|b| add(BoxFault::Resets(b, *part)))
             }
             Fault::Spoils { boxes: w, part } => {
-                boxes(w).into_iter().for_each(|b| add(Wrong::Spoils(b, *part)))
+                boxes(w).into_iter().for_each(|b| add(BoxFault::Spoils(b, *part)))
             }
-            Fault::Drain { boxes: w } => boxes(w).into_iter().for_each(|b| add(Wrong::Drain(b))),
-            Fault::Cut { zone } => add(Wrong::Cut(*zone)),
-            Fault::NoDiscovery => add(Wrong::Discovery(Mode::Down)),
-            Fault::OriginStops => add(Wrong::Origin),
+            Fault::Drain { boxes: w } => boxes(w).into_iter().for_each(|b| add(BoxFault::Drain(b))),
+            Fault::Cut { zone } => add(BoxFault::Cut(*zone)),
+            Fault::NoDiscovery => add(BoxFault::Discovery(Mode::Down)),
+            Fault::OriginStops => add(BoxFault::Origin),
             Fault::Roll { boxes: w } => {
                 let all = boxes(w);
                 let step = lasts.unwrap_or_default() / all.len().max(1) as u32;
                 for (i, b) in all.into_iter().enumerate() {
                     let at = at + step * i as u32;
                     script = std::mem::take(&mut script)
-                        .then(at, Duration::from_millis(1_200), Wrong::Drain(b))
-                        .then(at + Duration::from_secs(1), Duration::from_millis(200), Wrong::Down(b));
+                        .then(at, Duration::from_millis(1_200), BoxFault::Drain(b))
+                        .then(at + Duration::from_secs(1), Duration::from_millis(200), BoxFault::Down(b));
                 }
             }
             Fault::Die { proxies } => {
@@ -98,7 +103,7 @@
             Fault::Slows { .. } | Fault::Grow { .. } | Fault::Late { .. } | Fault::Surplus { .. } => {
                 let kind = format!("{:?}", f.fault);
                 let kind = kind.split(' ').next().unwrap_or_default().to_lowercase();
-                problems.push(format!("faults.{number}: {kind} is played in the model alone"));
+                problems.push(format!("faults.{number}: {kind} is available in the model only"));
             }
         }
     }
@@ -131,7 +136,7 @@
                 queue: k.queue,
                 connections: k.connections,
                 handshake: ms(k.handshake_ms),
-                // What stands at the start is warm; only what is started anew is cold.
+                // Boxes are warm at the start of a run; only a restarted box is cold.
                 cold: (k.cold_from < 1.0).then(|| (k.cold_from, secs(k.cold_s))),
                 fall: (k.fall_multiple, secs(k.fall_s)),
                 idle: secs(t.idle_s),
@@ -143,7 +148,7 @@
 }
 
 /// The configuration of a proxy, with the scenario's settings.
-fn configured(
+fn proxy_config(
     world: &World,
     scenario: &Scenario,
     proxy: usize,
@@ -173,16 +178,19 @@
     c
 }
 
-fn beside() -> PathBuf {
+fn default_program() -> PathBuf {
     std::env::current_exe().map_or_else(|_| "trestlesill".into(), |p| p.with_file_name("trestlesill"))
 }
 
-/// Plays a scenario, in real time.
+/// Runs a scenario in real time.
 pub fn run(scenario: &Scenario, seed: u64, program: Option<&Path>) -> Result<Summary, Failure> {
     let (script, steps) = plan(scenario, seed)?;
-    let program = program.map_or_else(beside, Path::to_owned);
+    let program = program.map_or_else(default_program, Path::to_owned);
     if !program.is_file() {
-        let line = format!("{} is not there: build it, or name it by --program", program.display());
+        let line = format!(
+            "proxy program {} not found: build it, or give its path with --program",
+            program.display()
+        );
         return Err(Failure::Input(vec![line]));
     }
     let io = |e: std::io::Error| Failure::Io(e.to_string());
@@ -191,11 +199,11 @@
     let folder = Folder::new("lab").map_err(io)?;
     let mut proxies = Vec::new();
     for i in 0..t.proxies {
-        let config = configured(&world, scenario, i, free_port().map_err(io)?);
+        let config = proxy_config(&world, scenario, i, free_port().map_err(io)?);
         proxies.push(Instance::start(&program, &folder.0, &config, None).map_err(io)?);
     }
     for proxy in &mut proxies {
-        proxy.ready(PATIENCE).map_err(io)?;
+        proxy.ready(READY_TIMEOUT).map_err(io)?;
     }
     let mut up = vec![true; t.proxies];
     let front = |up: &[bool], proxies: &[Instance]| -> Vec<Target> {
@@ -223,8 +231,8 @@
                 proxies[p].child.kill().and_then(|()| proxies[p].child.wait()).map(|_| ()).map_err(io)?
             }
             Step::Start(p) => proxies[p].kill_and_start().map_err(io)?,
-            Step::Front(p, there) => {
-                up[p] = there;
+            Step::Front(p, present) => {
+                up[p] = present;
                 load.front(front(&up, &proxies));
             }
         }
@@ -239,24 +247,24 @@
             _ => None,
         })
         .collect();
-    let mut summary = gathered(scenario, seed, &record, start);
+    let mut summary = summarize(scenario, seed, &record, start);
     summary.opened = (world.boxes.iter().map(|b| b.opened()).sum::<usize>() - opened) as u64;
     summary.attempts = world.boxes.iter().map(|b| b.record().len() as u64).sum();
     (summary.fetches, summary.origin_busy) = world.origin.counts();
-    for broken in world.broken(&load, proxies.len(), &killed) {
-        let rule = match broken.rule {
+    for violation in world.broken(&load, proxies.len(), &killed) {
+        let rule = match violation.rule {
             "doubled" => Rule::Doubled,
             "drain" => Rule::Drain,
             "cold-box" => Rule::ColdBox,
             _ => Rule::Lost,
         };
-        let its = broken.id.as_ref();
-        let history = record.iter().filter(|a| its.is_some_and(|id| id.get(..10) == a.id.get(..10)));
+        let id = violation.id.as_ref();
+        let history = record.iter().filter(|a| id.is_some_and(|id| id.get(..10) == a.id.get(..10)));
         summary.breaches.push(Breach {
             rule,
             at_ms: 0.0,
-            request: its.and_then(|id| u32::from_str_radix(id.get(..10)?, 16).ok()),
-            what: broken.what,
+            request: id.and_then(|id| u32::from_str_radix(id.get(..10)?, 16).ok()),
+            what: violation.what,
             times: 1,
             history: history.map(|a| format!("{a:?}")).collect(),
         });
@@ -264,8 +272,8 @@
     Ok(summary)
 }
 
-/// Tries put together to requests.
-fn gathered(scenario: &Scenario, seed: u64, record: &[Asked], start: Duration) -> Summary {
+/// Groups the tries of each request, and summarizes the requests.
+fn summarize(scenario: &Scenario, seed: u64, record: &[Asked], start: Duration) -> Summary {
     let mut by_number: HashMap<&str, Vec<&Asked>> = HashMap::new();
     for asked in record {
         by_number.entry(&asked.id[..10]).or_default().push(asked);
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool as it is called: scenarios, sweeps that are stopped, comparisons, reports.
+//! The command line: scenarios, interrupted sweeps, comparisons, reports and campaigns.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -32,7 +32,7 @@
     std::thread::scope(|s| {
         for name in names {
             s.spawn(move || {
-                // A fleet of hundreds is played in small here.
+                // Scenarios with hundreds of boxes run here at a smaller size.
                 let small: &[&str] = if name.starts_with("mass-") { &["--boxes", "20"] } else { &[] };
                 let run = lab(&[&["run", name, "--seed", "3"], small].concat());
                 assert_eq!(run.status.code(), Some(0), "{name}: {}{}", text(&run.stdout), text(&run.stderr));
@@ -54,10 +54,10 @@
     assert_eq!((run.status.code(), told.lines().count()), (Some(2), 4), "{told}");
     assert_eq!(lab(&["run", "no-such-day"]).status.code(), Some(2));
     assert_eq!(lab(&["run", "calm-day", "--policy", "best"]).status.code(), Some(2));
-    // What stand-ins can't play is said before anything is started.
+    // A scenario that can't be run over sockets is rejected before any process is started.
     let run = lab(&["run", "cold-growth", "--in", "sockets"]);
     assert_eq!(run.status.code(), Some(2));
-    assert!(text(&run.stderr).contains("grow is played in the model alone"), "{}", text(&run.stderr));
+    assert!(text(&run.stderr).contains("grow is available in the model only"), "{}", text(&run.stderr));
 }
 
 fn sweep(folder: &Folder, out: &str, rest: &str) -> Output {
@@ -76,7 +76,7 @@
     assert_eq!(whole.status.code(), Some(0), "{}", text(&whole.stderr));
     let lines = std::fs::read_to_string(folder.0.join("whole/results.jsonl")).expect("results");
     assert_eq!(lines.lines().count(), 16);
-    // A process that is killed in the middle of a line leaves a part of it.
+    // A process that is killed in the middle of a write leaves an incomplete last line.
     std::fs::create_dir(folder.0.join("torn")).expect("made");
     let cut: String = lines.lines().take(5).map(|l| format!("{l}\n")).collect::<String>() + &lines[..700];
     std::fs::write(folder.0.join("torn/results.jsonl"), cut).expect("written");
@@ -89,11 +89,11 @@
         all
     };
     assert_eq!(sorted(&again), sorted(&lines));
-    // A line in the middle that is no result is an error, not a gap.
+    // An invalid line in the middle of the file is an error and is not skipped.
     let spoilt = lines.replacen("\"schema\":1", "\"schema\":9", 1);
     std::fs::write(folder.0.join("torn/results.jsonl"), spoilt).expect("written");
     assert_eq!(sweep(&folder, "torn", vary).status.code(), Some(2));
-    // A value out of bounds is told before any run is played.
+    // A value out of bounds is reported before any run starts.
     let bad = sweep(&folder, "bad", "[vary]\n'topology.boxes' = [9, 0]\n'traffic.writes' = [2.0]");
     let told = text(&bad.stderr);
     assert_eq!(bad.status.code(), Some(2));
@@ -121,7 +121,7 @@
     assert!(std::fs::metadata(folder.0.join("out/plot-000-1.png")).is_ok_and(|m| m.len() > 1_000));
 }
 
-/// A bench of this test's own: it leaves an entry in the journal of the folder that it is called in, and names it.
+/// A fake bench, which writes an entry to the journal of its working directory and prints the entry's name.
 const BENCH: &str = r#"#!/bin/sh
 echo "$@" >> calls
 id="$3-$5-$(wc -l < calls | tr -d ' ')"
@@ -164,7 +164,7 @@
             && told.contains("origin 0.040"),
         "{told}"
     );
-    // What is there is not played again; a rule that broke is told, by the exit code too.
+    // Recorded plays are not repeated; a broken rule shows in the table and in the exit code.
     let calls =
         |side: usize| std::fs::read_to_string(sides[side].join("calls")).expect("calls").lines().count();
     assert_eq!((calls(0), calls(1)), (4, 4));
