--- a/crates/lab/src/campaign.rs
+++ b/crates/lab/src/campaign.rs
@@ -3,7 +3,7 @@
 //! the checkout to measure. The result is read from the entry that the bench writes to `journal/`, whose name it prints
 //! last (`snapshot ID`).
 
-use crate::results::{Book, Line};
+use crate::results::{ResultLine, ResultsFile};
 use crate::Failure;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -84,7 +84,7 @@
     pub snapshot: String,
 }
 
-impl Line for Play {}
+impl ResultLine for Play {}
 
 /// The fields of a journal entry that are read.
 #[derive(Debug, Deserialize)]
@@ -148,7 +148,7 @@
 struct Progress {
     /// Remaining plays, the next one last.
     tasks: Vec<Task>,
-    book: Book,
+    results: ResultsFile,
     plays: Vec<Play>,
     failed: Vec<String>,
 }
@@ -296,7 +296,7 @@
     if !problems.is_empty() {
         return Err(Failure::Input(problems));
     }
-    let (book, plays) = Book::open::<Play>(&args.out)?;
+    let (results, plays) = ResultsFile::open::<Play>(&args.out)?;
     let mut tasks = Vec::new();
     for play in 1..=args.plays {
         for seed in &args.seeds {
@@ -314,7 +314,7 @@
         }
     }
     tasks.reverse();
-    let shared = Mutex::new(Progress { tasks, book, plays, failed: Vec::new() });
+    let shared = Mutex::new(Progress { tasks, results, plays, failed: Vec::new() });
     let lock = || shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     std::thread::scope(|scope| {
         for _ in 0..args.lanes {
@@ -325,7 +325,7 @@
                 match result {
                     Ok(play) => {
                         eprintln!("{} {} ({}): {:.2}", play.kind, play.seed, play.side, play.score);
-                        if let Err(e) = progress.book.add(&play) {
+                        if let Err(e) = progress.results.add(&play) {
                             progress.failed.push(e.to_string());
                         }
                         progress.plays.push(play);
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two sets of results, paired by scenario, parameters and seed, and what chance alone may have done.
+//! Compares two sets of results, paired by scenario, parameters and seed, with bootstrap confidence intervals.
 
 use crate::results::Record;
 use crate::Failure;
@@ -6,55 +6,57 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Draws of the bootstrap, and its interval.
-const DRAWS: usize = 10_000;
+/// Number of bootstrap resamples.
+const RESAMPLES: usize = 10_000;
+/// Quantiles of the resampled means that bound the 95% confidence interval.
 const INTERVAL: [f64; 2] = [0.025, 0.975];
-/// Fewer pairs than this say nothing.
-const LEAST: usize = 3;
+/// Minimum number of pairs for a difference to be significant.
+const MIN_PAIRS: usize = 3;
 
-/// What to compare.
+/// The results to compare.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// A file of results, with `:POLICY` behind it for the runs of one policy alone.
+    /// A results file or folder, optionally followed by `:POLICY` to select the runs of one policy.
     a: String,
-    /// Another one.
+    /// The results to compare with, in the same form.
     b: String,
 }
 
-/// The difference of paired values, and the interval that 95% of the resampled means lie in.
+/// Mean difference of paired values, with its 95% bootstrap confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference {
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
-    /// The mean of b less a.
+    /// Mean of b minus a.
     pub mean: f64,
-    /// From.
+    /// Lower bound of the interval.
     pub low: f64,
-    /// To.
+    /// Upper bound of the interval.
     pub high: f64,
 }
 
 impl Difference {
-    /// Zero lies outside the interval.
+    /// Whether the difference is significant: there are enough pairs, and zero lies outside the interval.
     pub fn shown(&self) -> bool {
-        self.pairs >= LEAST && (self.low > 0.0 || self.high < 0.0)
+        self.pairs >= MIN_PAIRS && (self.low > 0.0 || self.high < 0.0)
     }
 }
 
-/// The bootstrap of a paired difference (Efron, 1979), by percentiles; the same for the same pairs.
+/// Percentile bootstrap of a paired difference (Efron, 1979). The seed is fixed, so equal pairs give equal results.
 pub fn paired(pairs: &[(f64, f64)]) -> Difference {
     let all: Vec<f64> = pairs.iter().map(|(a, b)| b - a).collect();
     let n = all.len();
     let mean = |sum: f64| sum / n.max(1) as f64;
-    let mut chance = RandomSource::new(n as u64, 9);
-    let mut means: Vec<f64> = (0..DRAWS).map(|_| mean((0..n).map(|_| all[chance.below(n)]).sum())).collect();
+    let mut random = RandomSource::new(n as u64, 9);
+    let mut means: Vec<f64> =
+        (0..RESAMPLES).map(|_| mean((0..n).map(|_| all[random.below(n)]).sum())).collect();
     means.sort_by(f64::total_cmp);
-    let at = |q: f64| means[(q * (DRAWS - 1) as f64) as usize];
+    let at = |q: f64| means[(q * (RESAMPLES - 1) as f64) as usize];
     Difference { pairs: n, mean: mean(all.iter().sum()), low: at(INTERVAL[0]), high: at(INTERVAL[1]) }
 }
 
-/// Results, those of one policy alone if the name says so.
-fn side(name: &str) -> Result<Vec<Record>, Failure> {
+/// Reads a set of results, restricted to one policy if the name ends in `:POLICY`.
+fn read_side(name: &str) -> Result<Vec<Record>, Failure> {
     let policy = name.rsplit_once(':').filter(|(_, p)| model::NAMES.contains(p));
     let (path, policy) = policy.map_or((name, None), |(path, p)| (path, Some(p)));
     let mut path = Path::new(path).to_owned();
@@ -64,7 +66,7 @@
     let mut all = crate::read(&path)?;
     all.retain(|r| policy.is_none_or(|p| r.summary.policy == p));
     if all.is_empty() {
-        return Err(Failure::Input(vec![format!("{name}: there are no such results")]));
+        return Err(Failure::Input(vec![format!("{name}: no matching results")]));
     }
     Ok(all)
 }
@@ -77,25 +79,25 @@
         let parameters = r.parameters.clone().into_iter().collect();
         let cell = (r.summary.scenario.clone(), parameters, r.summary.seed);
         if cells.insert(cell, r).is_some() {
-            let line = format!("{name}: holds several policies; name one, as {name}:shipped");
+            let line = format!("{name}: has several policies; select one, such as {name}:shipped");
             return Err(Failure::Input(vec![line]));
         }
     }
     Ok(cells)
 }
 
-/// Figures that are compared.
-type Figure = (&'static str, fn(&Record) -> f64);
-const FIGURES: [Figure; 4] = [
+/// A metric to compare: its name, and its value in a record.
+type Metric = (&'static str, fn(&Record) -> f64);
+const METRICS: [Metric; 4] = [
     ("in time", |r| r.summary.share()),
     ("worth", |r| r.summary.worth),
     ("p99 ms", |r| r.summary.p99_ms),
     ("attempts", |r| r.summary.attempts_each()),
 ];
 
-/// Compares, and prints a line a scenario and figure.
+/// Compares two sets of results, and prints one line per scenario and metric.
 pub fn command(args: &Args) -> Result<u8, Failure> {
-    let (a, b) = (cells(&args.a, side(&args.a)?)?, cells(&args.b, side(&args.b)?)?);
+    let (a, b) = (cells(&args.a, read_side(&args.a)?)?, cells(&args.b, read_side(&args.b)?)?);
     let mut groups: BTreeMap<&str, Vec<(&Record, &Record)>> = BTreeMap::new();
     for (cell, one) in &a {
         if let Some(other) = b.get(cell) {
@@ -103,12 +105,14 @@
         }
     }
     if groups.is_empty() {
-        return Err(Failure::Input(vec!["no run of one has a pair in the other".into()]));
+        return Err(Failure::Input(vec![
+            "the two sets have no run with the same scenario, parameters and seed".into(),
+        ]));
     }
     println!("scenario          figure     pairs          a          b   b less a   95% interval");
     for (scenario, pairs) in &groups {
-        for (name, figure) in FIGURES {
-            let values: Vec<(f64, f64)> = pairs.iter().map(|(a, b)| (figure(a), figure(b))).collect();
+        for (name, metric) in METRICS {
+            let values: Vec<(f64, f64)> = pairs.iter().map(|(a, b)| (metric(a), metric(b))).collect();
             let d = paired(&values);
             let mean = |f: fn(&(f64, f64)) -> f64| values.iter().map(f).sum::<f64>() / values.len() as f64;
             let verdict = if d.shown() { "" } else { "  no difference shown" };
@@ -131,11 +135,11 @@
     use super::*;
 
     #[test]
-    fn a_difference_is_shown_where_there_is_one() {
-        let mut chance = RandomSource::new(5, 5);
+    fn a_difference_is_significant_only_if_it_exists_and_has_enough_pairs() {
+        let mut random = RandomSource::new(5, 5);
         let mut pairs = |by: f64| -> Vec<(f64, f64)> {
             (0..30)
-                .map(|_| chance.unit())
+                .map(|_| random.unit())
                 .map(|a| (a, a + by))
                 .zip(0..)
                 .map(|((a, b), i)| (a, b + 0.01 * f64::from(i % 7 - 3)))
@@ -143,6 +147,6 @@
         };
         assert!(paired(&pairs(0.05)).shown());
         assert!(!paired(&pairs(0.0)).shown());
-        assert!(!paired(&[(0.0, 1.0), (0.0, 1.0)]).shown(), "two pairs say nothing");
+        assert!(!paired(&[(0.0, 1.0), (0.0, 1.0)]).shown(), "two pairs are too few");
     }
 }
--- a/crates/lab/src/knee.rs
+++ b/crates/lab/src/knee.rs
@@ -1,28 +1,28 @@
-//! The highest load that keeps a goal, by search.
+//! Searches for the knee: the highest load at which a scenario meets a goal.
 
 use crate::{scenarios, Failure};
 use model::{Scenario, Summary};
 use rayon::prelude::*;
 use std::fmt::Write;
 
-/// What to search.
+/// Options of the search.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// A file, or the name of a scenario that ships.
+    /// A file, or the name of a built-in scenario.
     file: String,
-    /// The least part of the requests to be served in time, over all seeds.
+    /// The minimum fraction of requests served in time, over all seeds.
     #[arg(long, default_value_t = 0.99)]
     goal: f64,
-    /// Who decides.
+    /// The policy.
     #[arg(long, default_value = "shipped")]
     policy: String,
-    /// Runs for each load.
+    /// Number of runs, with different seeds, for each load.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// The search ends when the bounds are this part of the load apart.
+    /// Relative tolerance: the search ends when its bounds differ by at most this fraction of the load.
     #[arg(long, default_value_t = 0.02)]
     within: f64,
-    /// Boxes, instead of the scenario's; proxies, the origin and the first load to try follow in proportion.
+    /// Number of boxes, in place of the scenario's; proxies, the origin and the initial load scale in proportion.
     #[arg(long)]
     boxes: Option<usize>,
 }
@@ -33,7 +33,7 @@
     runs: Vec<Summary>,
 }
 
-fn at(scenario: &Scenario, rate: f64, args: &Args) -> Result<Load, Failure> {
+fn run_at(scenario: &Scenario, rate: f64, args: &Args) -> Result<Load, Failure> {
     let mut scenario = scenario.clone();
     scenario.traffic.rate = rate;
     let runs: Result<Vec<Summary>, String> =
@@ -43,8 +43,8 @@
     Ok(Load { rate, share: good as f64 / all.max(1) as f64, runs })
 }
 
-/// What there is most of among the requests that were not served in time, and what stood at its end.
-fn gives_way(load: &Load) -> String {
+/// Describes a load: requests not served in time by outcome, and the utilization of the boxes and of the origin.
+fn describe(load: &Load) -> String {
     let sum = |f: fn(&Summary) -> u64| load.runs.iter().map(f).sum::<u64>();
     let lost = [
         ("late", sum(|r| r.late)),
@@ -54,13 +54,14 @@
     ];
     let mean = |f: fn(&Summary) -> f64| load.runs.iter().map(f).sum::<f64>() / load.runs.len() as f64;
     let mut out = String::new();
-    let told: Vec<String> = lost.iter().filter(|(_, n)| *n > 0).map(|(w, n)| format!("{w} {n}")).collect();
+    let outcomes: Vec<String> =
+        lost.iter().filter(|(_, n)| *n > 0).map(|(w, n)| format!("{w} {n}")).collect();
     let (boxes, busiest) = (mean(|r| r.boxes_busy), mean(|r| r.busiest_box));
     // Writing to a string cannot fail.
     let _ = write!(
         out,
         "{}; boxes are at work {:.0}% of their time, the busiest {:.0}%, the origin {:.0}%",
-        if told.is_empty() { "nothing is lost".into() } else { told.join(", ") },
+        if outcomes.is_empty() { "nothing is lost".into() } else { outcomes.join(", ") },
         100.0 * boxes,
         100.0 * busiest,
         100.0 * mean(|r| r.origin_part)
@@ -68,7 +69,7 @@
     out
 }
 
-/// Doubles the load until the goal is missed, then halves the interval.
+/// Doubles the load until the goal is missed, then bisects the interval.
 pub fn command(args: &Args) -> Result<u8, Failure> {
     if !(0.0..1.0).contains(&args.goal) || args.within <= 0.0 {
         return Err(Failure::Input(vec!["--goal must be 0 to below 1, --within above 0".into()]));
@@ -80,7 +81,7 @@
     let mut low: Option<Load> = None;
     let mut rate = scenario.traffic.rate;
     let mut high = loop {
-        let load = at(&scenario, rate, args)?;
+        let load = run_at(&scenario, rate, args)?;
         eprintln!("{rate:.0} a second: {:.4} in time", load.share);
         if load.share < args.goal {
             break load;
@@ -96,7 +97,7 @@
         if high.rate - from <= args.within * high.rate {
             break;
         }
-        let load = at(&scenario, (from + high.rate) / 2.0, args)?;
+        let load = run_at(&scenario, (from + high.rate) / 2.0, args)?;
         eprintln!("{:.0} a second: {:.4} in time", load.rate, load.share);
         if load.share < args.goal {
             high = load;
@@ -119,7 +120,7 @@
         low.share,
         high.rate,
         high.share,
-        gives_way(&high)
+        describe(&high)
     );
     Ok(0)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The tool `trestlelab`.
+//! Entry point of the `trestlelab` program.
 
 use clap::Parser;
 use std::process::ExitCode;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! One page of a folder of results, with its plots in it; the plots are written as PNG beside it too.
+//! Writes an HTML page for a folder of results, with embedded SVG plots, and the same plots as PNG files.
 
 use crate::compare::paired;
 use crate::results::Record;
@@ -26,10 +26,10 @@
     RGBColor(20, 20, 20),
 ];
 
-/// Which results.
+/// The results to report on.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// A folder that a sweep wrote; the page is put there as `report.html`.
+    /// A folder of sweep results; the page is written there as `report.html`.
     folder: PathBuf,
 }
 
@@ -37,7 +37,7 @@
     title: String,
     x: &'static str,
     y: &'static str,
-    /// Ticks of the x axis that stand for something else.
+    /// The x axis counts nines: x stands for the percentile 100 (1 - 10^-x).
     nines: bool,
     lines: Vec<(String, Vec<(f64, f64)>)>,
 }
@@ -51,7 +51,7 @@
     let right = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
     let top = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.05;
     let left = points().map(|p| p.0).fold(right, f64::min);
-    let drawn = (|| {
+    let result = (|| {
         let root = backend.into_drawing_area();
         root.fill(&WHITE).map_err(|e| e.to_string())?;
         let mut plot = ChartBuilder::on(&root)
@@ -90,21 +90,21 @@
             .map_err(|e| e.to_string())?;
         root.present().map_err(|e| e.to_string())
     })();
-    drawn.map_err(|e: String| format!("{}: {e}", chart.title))
+    result.map_err(|e: String| format!("{}: {e}", chart.title))
 }
 
-/// The mean of a figure of each second over all seeds.
-fn by_second(records: &[&Record], figure: impl Fn(&Second) -> Option<f64>) -> Vec<(f64, f64)> {
+/// The mean over all runs of a metric, for each second.
+fn by_second(records: &[&Record], metric: impl Fn(&Second) -> Option<f64>) -> Vec<(f64, f64)> {
     let seconds = records.iter().map(|r| r.summary.seconds.len()).max().unwrap_or(0);
     let mean = |i: usize| {
-        let all: Vec<f64> = records.iter().filter_map(|r| figure(r.summary.seconds.get(i)?)).collect();
+        let all: Vec<f64> = records.iter().filter_map(|r| metric(r.summary.seconds.get(i)?)).collect();
         (!all.is_empty()).then(|| (i as f64, all.iter().sum::<f64>() / all.len() as f64))
     };
     (0..seconds).filter_map(mean).collect()
 }
 
-/// The times of all runs in one.
-fn times(records: &[&Record]) -> Option<Histogram<u64>> {
+/// Merges the latency histograms of all runs.
+fn merged_latencies(records: &[&Record]) -> Option<Histogram<u64>> {
     let mut all: Option<Histogram<u64>> = None;
     for r in records {
         let bytes = BASE64_STANDARD.decode(&r.summary.times).ok()?;
@@ -118,16 +118,16 @@
 }
 
 fn charts(scenario: &str, policies: &BTreeMap<&str, Vec<&Record>>) -> Vec<Chart> {
-    let over_time = |title: &str, y, figure: &dyn Fn(&Second) -> Option<f64>| Chart {
+    let over_time = |title: &str, y, metric: &dyn Fn(&Second) -> Option<f64>| Chart {
         title: format!("{scenario}: {title}"),
         x: "seconds",
         y,
         nines: false,
-        lines: policies.iter().map(|(p, r)| ((*p).to_owned(), by_second(r, figure))).collect(),
+        lines: policies.iter().map(|(p, r)| ((*p).to_owned(), by_second(r, metric))).collect(),
     };
     let of = |part: u32, whole: u32| (whole > 0).then(|| f64::from(part) / f64::from(whole));
     let percentiles = policies.iter().filter_map(|(policy, records)| {
-        let times = times(records)?;
+        let times = merged_latencies(records)?;
         let points = (0..=40).map(|i| {
             let nines = f64::from(i) / 10.0;
             (nines, times.value_at_quantile(1.0 - 10f64.powf(-nines)) as f64 / 1_000.0)
@@ -153,8 +153,8 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A table of the policies, each against the shipped one, with intervals.
-fn rows(policies: &BTreeMap<&str, Vec<&Record>>) -> String {
+/// A table of the policies, each compared with the shipped one, with confidence intervals.
+fn policy_table(policies: &BTreeMap<&str, Vec<&Record>>) -> String {
     let mut out = String::from(
         "<table><tr><th>policy<th>runs<th>in time<th>against shipped, 95%<th>worth<th>p99 ms<th>p99.9 ms\
          <th>attempts<th>opened<th>rules broken</tr>\n",
@@ -194,16 +194,16 @@
     out + "</table>\n"
 }
 
-/// Writes the page and its plots; the page's path.
+/// Writes the page and its plots; returns the path of the page.
 pub fn write(folder: &Path) -> Result<PathBuf, Failure> {
     let records = crate::read(&folder.join("results.jsonl"))?;
     if records.is_empty() {
-        return Err(Failure::Input(vec![format!("{}: holds no results", folder.display())]));
+        return Err(Failure::Input(vec![format!("{}: has no results", folder.display())]));
     }
-    // A font of this program's own: the machine may have none.
+    // The font is embedded, since the machine may have none installed.
     let font = epaint_default_fonts::UBUNTU_LIGHT;
     register_font("sans-serif", FontStyle::Normal, font)
-        .map_err(|_| Failure::Io("the font can't be used".into()))?;
+        .map_err(|_| Failure::Io("the embedded font can't be registered".into()))?;
     let mut sections: BTreeMap<String, BTreeMap<&str, Vec<&Record>>> = BTreeMap::new();
     for r in &records {
         let mut name = r.summary.scenario.clone();
@@ -218,7 +218,7 @@
          text-align:right}td:first-child{text-align:left}svg{margin:4px}</style>\n<h1>trestlelab</h1>\n",
     );
     for (number, (name, policies)) in sections.iter().enumerate() {
-        let _ = writeln!(page, "<h2>{}</h2>\n{}", escaped(name), rows(policies));
+        let _ = writeln!(page, "<h2>{}</h2>\n{}", escaped(name), policy_table(policies));
         for (i, chart) in charts(name, policies).iter().enumerate() {
             let mut svg = String::new();
             draw(SVGBackend::with_string(&mut svg, SIZE), chart).map_err(Failure::Io)?;
@@ -232,7 +232,7 @@
     Ok(path)
 }
 
-/// Writes the page, and says where.
+/// Writes the page, and prints its path.
 pub fn command(args: &Args) -> Result<u8, Failure> {
     println!("{}", write(&args.folder)?.display());
     Ok(0)
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,4 +1,4 @@
-//! Results as JSON Lines, one run a line, with the version of what is in them.
+//! Results files in JSON Lines: one run per line, each with the version of its schema.
 
 use crate::Failure;
 use model::{Summary, SCHEMA};
@@ -9,45 +9,45 @@
 use std::io::{Read, Seek, Write};
 use std::path::Path;
 
-/// A run of an experiment.
+/// The result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The format's version.
+    /// Schema version.
     pub schema: u32,
-    /// A hash of all that the run depends on: scenario, parameters, policy, seed, version.
+    /// A hash of all inputs of the run: scenario, parameters, policy, seed, version.
     pub key: String,
     /// The parameters that were varied.
     pub parameters: BTreeMap<String, String>,
-    /// What came of it.
+    /// Summary of the run.
     pub summary: Summary,
 }
 
-/// What a file of results holds, one a line.
-pub trait Line: Serialize + DeserializeOwned {
-    /// Looks at one that was read.
+/// A line of a results file.
+pub trait ResultLine: Serialize + DeserializeOwned {
+    /// Validates a parsed line.
     ///
     /// # Errors
-    /// It is of another version than this program reads.
+    /// The line has a schema version that this program does not read.
     fn check(&self) -> Result<(), String> {
         Ok(())
     }
 }
 
-impl Line for Record {
+impl ResultLine for Record {
     fn check(&self) -> Result<(), String> {
         let other = self.schema != SCHEMA;
         if other {
-            Err(format!("has schema {}, this program reads {SCHEMA}", self.schema))
+            Err(format!("schema version is {}, must be {SCHEMA}", self.schema))
         } else {
             Ok(())
         }
     }
 }
 
-/// Reads a file of results. A last line without its end is left out: whoever wrote it was stopped there.
+/// Reads a results file. An incomplete last line is skipped: its writer was interrupted.
 ///
 /// # Errors
-/// The file can't be read, or a whole line of it is no record.
+/// The file can't be read, or a complete line of it is not a valid record.
 pub fn read(path: &Path) -> Result<Vec<Record>, Failure> {
     let mut text = String::new();
     let mut file = File::open(path).map_err(|e| Failure::io("can't be read", path, e))?;
@@ -55,7 +55,7 @@
     lines(path, &text)
 }
 
-fn lines<T: Line>(path: &Path, text: &str) -> Result<Vec<T>, Failure> {
+fn lines<T: ResultLine>(path: &Path, text: &str) -> Result<Vec<T>, Failure> {
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
     let mut all = Vec::new();
     for (i, line) in whole.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
@@ -67,41 +67,41 @@
     Ok(all)
 }
 
-/// A file of results that grows.
+/// A results file that is open for appending.
 #[derive(Debug)]
-pub struct Book {
+pub struct ResultsFile {
     file: File,
 }
 
-impl Book {
-    /// Opens it, or makes it; what was written whole stays, a torn end goes.
+impl ResultsFile {
+    /// Opens or creates the file and reads its complete lines; an incomplete last line is truncated.
     ///
     /// # Errors
-    /// It can't be read or written.
-    pub fn open<T: Line>(path: &Path) -> Result<(Book, Vec<T>), Failure> {
-        let fault = |e| Failure::io("can't be opened", path, e);
+    /// The file can't be read or written, or a complete line of it is invalid.
+    pub fn open<T: ResultLine>(path: &Path) -> Result<(ResultsFile, Vec<T>), Failure> {
+        let open_error = |e| Failure::io("can't be opened", path, e);
         let mut file = OpenOptions::new()
             .create(true)
             .truncate(false)
             .read(true)
             .write(true)
             .open(path)
-            .map_err(fault)?;
+            .map_err(open_error)?;
         let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes).map_err(fault)?;
+        file.read_to_end(&mut bytes).map_err(open_error)?;
         let whole = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
-        file.set_len(whole as u64).map_err(fault)?;
-        file.seek(std::io::SeekFrom::End(0)).map_err(fault)?;
-        let text =
-            String::from_utf8(bytes[..whole].to_vec()).map_err(|e| Failure::io("is no text", path, e))?;
-        Ok((Book { file }, lines(path, &text)?))
+        file.set_len(whole as u64).map_err(open_error)?;
+        file.seek(std::io::SeekFrom::End(0)).map_err(open_error)?;
+        let text = String::from_utf8(bytes[..whole].to_vec())
+            .map_err(|e| Failure::io("is not UTF-8 text", path, e))?;
+        Ok((ResultsFile { file }, lines(path, &text)?))
     }
 
-    /// Adds a run, in one write.
+    /// Appends a line, in a single write.
     ///
     /// # Errors
-    /// It can't be written.
-    pub fn add(&mut self, one: &impl Line) -> Result<(), Failure> {
+    /// The file can't be written.
+    pub fn add(&mut self, one: &impl ResultLine) -> Result<(), Failure> {
         let mut line = serde_json::to_vec(one).map_err(|e| Failure::Io(e.to_string()))?;
         line.push(b'\n');
         self.file.write_all(&line).map_err(|e| Failure::Io(format!("the results can't be written: {e}")))
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,6 +1,6 @@
-//! A matrix of parameters, policies and seeds, played on all cores; what is done is not done again.
+//! Sweeps: runs a matrix of parameters, policies and seeds on all cores; runs already in the results are skipped.
 
-use crate::results::{Book, Record};
+use crate::results::{Record, ResultsFile};
 use crate::{scenarios, Failure};
 use indicatif::{ProgressBar, ProgressStyle};
 use model::{Scenario, NAMES, SCHEMA};
@@ -11,26 +11,26 @@
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 
-/// Runs of one sweep at the most.
-const MOST_RUNS: usize = 100_000;
+/// Maximum number of runs in a sweep.
+const MAX_RUNS: usize = 100_000;
 
-/// What to sweep.
+/// Options of a sweep.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// The sweep: a TOML file with `scenario`, `policies`, `seeds` and `[vary]`.
+    /// The sweep file: TOML with `scenario`, `policies`, `seeds` and `[vary]`.
     file: PathBuf,
-    /// The folder of results; one that has some already is gone on with.
+    /// The folder of results; a sweep that was interrupted there is resumed.
     #[arg(long, default_value = "results")]
     out: PathBuf,
-    /// Threads; by default all cores.
+    /// Number of threads; 0 uses all cores.
     #[arg(long, default_value_t = 0)]
     threads: usize,
 }
 
-/// A sweep as it is written.
+/// The content of a sweep file, before validation.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct SweepFile {
     version: u32,
     scenario: toml::Value,
     #[serde(default = "shipped")]
@@ -44,7 +44,7 @@
     vec!["shipped".into()]
 }
 
-/// A sweep that can be played.
+/// A validated sweep.
 #[derive(Debug)]
 pub struct Plan {
     cells: Vec<(BTreeMap<String, String>, Scenario)>,
@@ -59,27 +59,30 @@
     scenario: &'a Scenario,
     policy: &'a str,
     seed: u64,
-    /// A hash of all that the run depends on.
+    /// A hash of all inputs of the run.
     pub key: String,
 }
 
 impl Plan {
-    /// Reads a sweep, and looks at every scenario that it comes to before any is played.
+    /// Parses a sweep and validates every scenario of its matrix.
     ///
     /// # Errors
-    /// All that is wrong.
+    /// Lists every problem found.
     pub fn read(file: &Path, text: &str) -> Result<Plan, Failure> {
         let at = |what: String| format!("{}: {what}", file.display());
-        let written: Written =
+        let sweep: SweepFile =
             toml::from_str(text).map_err(|e| Failure::Input(vec![at(e.to_string().trim().to_owned())]))?;
         let mut problems = Vec::new();
-        if written.version != model::VERSION {
-            problems.push(at(format!("version: is {}, must be {}", written.version, model::VERSION)));
+        if sweep.version != model::VERSION {
+            problems.push(at(format!("version: is {}, must be {}", sweep.version, model::VERSION)));
         }
-        for policy in written.policies.iter().filter(|p| !NAMES.contains(&p.as_str())) {
-            problems.push(at(format!("policies: there is no '{policy}'; there are {}", NAMES.join(", "))));
+        for policy in sweep.policies.iter().filter(|p| !NAMES.contains(&p.as_str())) {
+            problems.push(at(format!(
+                "policies: unknown policy '{policy}'; known policies: {}",
+                NAMES.join(", ")
+            )));
         }
-        let names: Vec<String> = match written.scenario {
+        let names: Vec<String> = match sweep.scenario {
             toml::Value::String(name) => vec![name],
             toml::Value::Array(all) => all.iter().filter_map(|v| v.as_str().map(str::to_owned)).collect(),
             _ => Vec::new(),
@@ -88,37 +91,39 @@
             problems.push(at("scenario: must name a scenario, or several in an array".into()));
         }
         let mut matrix: Vec<Vec<(String, toml::Value)>> = vec![Vec::new()];
-        for (key, values) in &written.vary {
+        for (key, values) in &sweep.vary {
             let Some(values) = values.as_array().filter(|v| !v.is_empty()) else {
                 problems.push(at(format!("vary.{key}: must be an array of values")));
                 continue;
             };
-            let more = |cell: &Vec<(String, toml::Value)>| -> Vec<Vec<(String, toml::Value)>> {
+            let extend = |cell: &Vec<(String, toml::Value)>| -> Vec<Vec<(String, toml::Value)>> {
                 let with = |v: &toml::Value| [cell.clone(), vec![(key.clone(), v.clone())]].concat();
                 values.iter().map(with).collect()
             };
-            matrix = matrix.iter().flat_map(more).collect();
+            matrix = matrix.iter().flat_map(extend).collect();
         }
-        let runs = matrix.len() * names.len() * written.policies.len().max(1);
-        if written.seeds == 0 || runs as u64 > MOST_RUNS as u64 / written.seeds.max(1) {
+        let runs = matrix.len() * names.len() * sweep.policies.len().max(1);
+        if sweep.seeds == 0 || runs as u64 > MAX_RUNS as u64 / sweep.seeds.max(1) {
             problems.push(at(format!(
-                "seeds: {} make {runs} times as many runs, at most {MOST_RUNS}",
-                written.seeds
+                "seeds: {} seeds with {runs} runs each; must be at least 1 seed and at most {MAX_RUNS} runs",
+                sweep.seeds
             )));
             return Err(Failure::Input(problems));
         }
         let mut cells = Vec::new();
         for name in &names {
-            // A file is named from where its sweep lies.
-            let beside = file.parent().map(|p| p.join(name)).filter(|p| p.is_file());
-            let text = scenarios::text(beside.as_deref().and_then(Path::to_str).unwrap_or(name))?;
+            // A path is relative to the folder of the sweep file.
+            let in_sweep_folder = file.parent().map(|p| p.join(name)).filter(|p| p.is_file());
+            let text = scenarios::text(in_sweep_folder.as_deref().and_then(Path::to_str).unwrap_or(name))?;
             for cell in &matrix {
                 let mut table: toml::Table =
                     text.parse().map_err(|e| Failure::Input(vec![format!("{name}: {e}")]))?;
                 let mut parameters = BTreeMap::new();
                 for (key, value) in cell {
-                    if !set(&mut table, key, value.clone()) {
-                        problems.push(at(format!("vary.{key}: leads through something that is no table")));
+                    if !set_path(&mut table, key, value.clone()) {
+                        problems.push(at(format!(
+                            "vary.{key}: the path leads through a value that is not a table"
+                        )));
                     }
                     parameters.insert(key.clone(), serde_json::to_string(value).unwrap_or_default());
                 }
@@ -131,14 +136,14 @@
             }
         }
         if problems.is_empty() {
-            Ok(Plan { cells, policies: written.policies, seeds: written.seeds })
+            Ok(Plan { cells, policies: sweep.policies, seeds: sweep.seeds })
         } else {
             problems.dedup();
             Err(Failure::Input(problems))
         }
     }
 
-    /// All runs.
+    /// All runs of the sweep, in a fixed order.
     pub fn runs(&self) -> Vec<Run<'_>> {
         let mut all = Vec::new();
         for (parameters, scenario) in &self.cells {
@@ -157,49 +162,49 @@
     }
 }
 
-/// Sets a value by its path; false if that leads through something else than tables.
-fn set(table: &mut toml::Table, path: &str, value: toml::Value) -> bool {
+/// Sets the value at a dotted path; returns false if the path leads through a value that is not a table.
+fn set_path(table: &mut toml::Table, path: &str, value: toml::Value) -> bool {
     let Some((first, rest)) = path.split_once('.') else {
         table.insert(path.to_owned(), value);
         return true;
     };
     let inner = table.entry(first.to_owned()).or_insert_with(|| toml::Value::Table(toml::Table::new()));
     match inner {
-        toml::Value::Table(inner) => set(inner, rest, value),
+        toml::Value::Table(inner) => set_path(inner, rest, value),
         toml::Value::Array(all) => {
             let (at, rest) = rest.split_once('.').unwrap_or((rest, ""));
             let inner = at.parse::<usize>().ok().and_then(|i| all.get_mut(i));
-            inner.and_then(toml::Value::as_table_mut).is_some_and(|t| set(t, rest, value))
+            inner.and_then(toml::Value::as_table_mut).is_some_and(|t| set_path(t, rest, value))
         }
         _ => false,
     }
 }
 
-/// Plays all runs that are not in the results yet.
+/// Runs all that is missing in the results, and prints the table.
 pub fn command(args: &Args) -> Result<u8, Failure> {
     let text =
         std::fs::read_to_string(&args.file).map_err(|e| Failure::io("can't be read", &args.file, e))?;
     let plan = Plan::read(&args.file, &text)?;
-    std::fs::create_dir_all(&args.out).map_err(|e| Failure::io("can't be made", &args.out, e))?;
-    let (book, done) = Book::open::<Record>(&args.out.join("results.jsonl"))?;
+    std::fs::create_dir_all(&args.out).map_err(|e| Failure::io("can't be created", &args.out, e))?;
+    let (results, done) = ResultsFile::open::<Record>(&args.out.join("results.jsonl"))?;
     let done: HashSet<String> = done.into_iter().map(|r| r.key).collect();
     let runs = plan.runs();
-    let left: Vec<&Run<'_>> = runs.iter().filter(|r| !done.contains(&r.key)).collect();
+    let remaining: Vec<&Run<'_>> = runs.iter().filter(|r| !done.contains(&r.key)).collect();
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {eta} left");
-    let bar = ProgressBar::new(left.len() as u64);
+    let bar = ProgressBar::new(remaining.len() as u64);
     if let Ok(style) = style {
         bar.set_style(style);
     }
     let pool = rayon::ThreadPoolBuilder::new().num_threads(args.threads).build();
     let pool = pool.map_err(|e| Failure::Io(e.to_string()))?;
-    let book = Mutex::new(book);
+    let results = Mutex::new(results);
     pool.install(|| {
-        left.par_iter().try_for_each(|run| {
+        remaining.par_iter().try_for_each(|run| {
             let summary =
                 model::run(run.scenario, run.policy, run.seed).map_err(|e| Failure::Input(vec![e]))?;
             let record =
                 Record { schema: SCHEMA, key: run.key.clone(), parameters: run.parameters.clone(), summary };
-            book.lock().unwrap_or_else(std::sync::PoisonError::into_inner).add(&record)?;
+            results.lock().unwrap_or_else(std::sync::PoisonError::into_inner).add(&record)?;
             bar.inc(1);
             Ok::<(), Failure>(())
         })
@@ -212,7 +217,7 @@
     Ok(u8::from(all.iter().any(|r| !r.summary.breaches.is_empty())))
 }
 
-/// A line a cell and policy, with means over the seeds, in an order that does not depend on who was first.
+/// One line per cell and policy, with means over the seeds; the order does not depend on which run finished first.
 pub fn table(all: &[Record]) -> String {
     let mut cells: BTreeMap<(String, String, String), Vec<&Record>> = BTreeMap::new();
     for r in all {
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against servers that behave and that don't.
+//! The load generator against healthy and faulty servers.
 
 use clap::Parser;
 use std::net::{SocketAddr, TcpListener};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_server_that_answers_is_measured_in_all_its_ways() {
+fn a_healthy_server_answers_all_requests_in_every_mode() {
     let at = answering(|c| Some(cached(c)));
     for rest in ["", "--threads 2 --pipeline 8 --connections 4", "--churn 0.2", "--tenant a:1 --tenant b:3"] {
         let o = load(at, &format!("--rate 400 --seconds 1 --check-keys {rest}"));
@@ -29,7 +29,7 @@
     }
 }
 
-/// A server that says nothing up to 1.5 s, from the first command after 0.5 s on.
+/// A server that stalls: the first command later than 0.5 s after its start is not answered before 1.5 s.
 fn stalling() -> SocketAddr {
     let (begun, over) = (Instant::now(), AtomicBool::new(false));
     answering(move |c| {
@@ -43,18 +43,18 @@
 }
 
 #[test]
-fn a_stall_of_a_second_shows_in_the_percentiles_and_a_closed_loop_hides_it() {
+fn a_stall_shows_in_open_loop_percentiles_and_is_hidden_by_a_closed_loop() {
     let classes = "--class pack-lookup:3000:1 --connections 4 --rate 400 --seconds 4";
     let open = load(stalling(), classes);
     let closed = load(stalling(), &format!("{classes} --closed"));
-    // For a quarter of the time the server was silent, and so many requests were late.
+    // The server stalls for one of four seconds, so about a quarter of the requests are delayed.
     assert!(open.p99_ms > 700.0 && open.max_ms > 850.0, "{open:?}");
     assert!(closed.p99_ms < open.p99_ms / 10.0 && closed.max_ms > 850.0, "{closed:?}");
     assert_eq!((open.lost, open.wrong, open.sent), (0, 0, open.served), "{open:?}");
 }
 
 #[test]
-fn what_a_server_does_wrong_is_told_apart() {
+fn each_kind_of_server_fault_has_its_own_counter() {
     let one = "--rate 200 --seconds 0.5 --class pack-lookup:100:1";
     let refuses = load(answering(|_| Some(b"-BUSY 20\r\n".to_vec())), one);
     assert!(refuses.refused == refuses.sent && refuses.sent > 50, "{refuses:?}");
@@ -62,25 +62,25 @@
     assert!(errs.failed == errs.sent && errs.sent > 50, "{errs:?}");
     let resets = load(answering(|_| None), one);
     assert!(resets.lost == resets.sent && resets.sent > 50, "{resets:?}");
-    let spoilt = load(answering(|_| Some(b"*3\r\n$x\r\n".to_vec())), one);
-    assert!(spoilt.wrong > 50 && spoilt.served == 0, "{spoilt:?}");
-    let crossed = answering(|_| Some(b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n".to_vec()));
-    let crossed = load(crossed, &format!("{one} --check-keys"));
-    assert!(crossed.wrong == crossed.sent && crossed.sent > 50, "{crossed:?}");
-    let twice = load(answering(|c| Some([cached(c), cached(c)].concat())), one);
-    assert!(twice.wrong > 0, "{twice:?}");
+    let malformed = load(answering(|_| Some(b"*3\r\n$x\r\n".to_vec())), one);
+    assert!(malformed.wrong > 50 && malformed.served == 0, "{malformed:?}");
+    let wrong_key = answering(|_| Some(b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n".to_vec()));
+    let wrong_key = load(wrong_key, &format!("{one} --check-keys"));
+    assert!(wrong_key.wrong == wrong_key.sent && wrong_key.sent > 50, "{wrong_key:?}");
+    let duplicated = load(answering(|c| Some([cached(c), cached(c)].concat())), one);
+    assert!(duplicated.wrong > 0, "{duplicated:?}");
     let silent = load(answering(|_| Some(Vec::new())), one);
     assert!(silent.lost == silent.sent && silent.sent > 50, "{silent:?}");
-    // What never came counts as long as it was waited for.
+    // An unanswered request counts with the time for which it was awaited.
     assert!(silent.p50_ms >= 100.0, "{silent:?}");
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
-    let nobody = load(nobody, one);
-    assert!(nobody.lost == nobody.sent, "{nobody:?}");
+    let closed_port = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
+    let unreachable = load(closed_port, one);
+    assert!(unreachable.lost == unreachable.sent, "{unreachable:?}");
 }
 
 #[test]
-fn a_tool_that_falls_behind_says_so() {
-    // No machine puts this on from one thread.
+fn a_generator_that_falls_behind_reports_it() {
+    // A rate that one thread can't generate on any machine.
     let at = answering(|c| Some(cached(c)));
     let o = load(at, "--rate 20000000 --seconds 0.2 --class pack-lookup:200:1");
     assert!(o.fell_behind && o.own_lag_p99_ms > 5.0, "{o:?}");
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -25,7 +25,7 @@
     [traffic]\nrate = 300\n[[faults]]\nat_s = 2\nlasts_s = 2\nkind = 'silent'\nboxes = 0.2\n";
 
 #[test]
-fn every_scenario_that_ships_is_sound_and_what_it_wants_holds() {
+fn every_built_in_scenario_is_valid_and_meets_its_goals() {
     let listed = text(&lab(&["scenarios"]).stdout);
     let names: Vec<&str> = listed.lines().filter_map(|l| l.split(' ').next()).collect();
     assert!(names.len() >= 10);
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn a_goal_that_is_missed_and_input_that_is_wrong_have_their_exit_codes() {
+fn a_missed_goal_exits_with_1_and_invalid_input_with_2() {
     let folder = Folder::new("lab").expect("a folder");
     let missed = write(&folder, "missed.toml", &format!("holds = {{ p99_ms = 1.0 }}\n{SHORT}"));
     let run = lab(&["run", &missed]);
     assert_eq!((run.status.code(), text(&run.stderr).contains("p99_ms is")), (Some(1), true));
     let wrong = write(&folder, "wrong.toml", "version = 1\nname = ''\nrate = 3\n[traffic]\nwrites = 7\n");
     let run = lab(&["check", &wrong]);
-    let told = text(&run.stderr);
-    assert_eq!((run.status.code(), told.lines().count()), (Some(2), 4), "{told}");
+    let printed = text(&run.stderr);
+    assert_eq!((run.status.code(), printed.lines().count()), (Some(2), 4), "{printed}");
     assert_eq!(lab(&["run", "no-such-day"]).status.code(), Some(2));
     assert_eq!(lab(&["run", "calm-day", "--policy", "best"]).status.code(), Some(2));
     // A scenario that can't be run over sockets is rejected before any process is started.
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_sweep_that_was_stopped_goes_on_and_gives_the_same_table() {
+fn an_interrupted_sweep_resumes_and_prints_the_same_table() {
     let folder = Folder::new("lab").expect("a folder");
     write(&folder, "short.toml", SHORT);
     let vary = "[vary]\n'topology.boxes' = [9, 12]";
@@ -90,19 +90,22 @@
     };
     assert_eq!(sorted(&again), sorted(&lines));
     // An invalid line in the middle of the file is an error and is not skipped.
-    let spoilt = lines.replacen("\"schema\":1", "\"schema\":9", 1);
-    std::fs::write(folder.0.join("torn/results.jsonl"), spoilt).expect("written");
+    let other_schema = lines.replacen("\"schema\":1", "\"schema\":9", 1);
+    std::fs::write(folder.0.join("torn/results.jsonl"), other_schema).expect("written");
     assert_eq!(sweep(&folder, "torn", vary).status.code(), Some(2));
     // A value out of bounds is reported before any run starts.
     let bad = sweep(&folder, "bad", "[vary]\n'topology.boxes' = [9, 0]\n'traffic.writes' = [2.0]");
-    let told = text(&bad.stderr);
+    let printed = text(&bad.stderr);
     assert_eq!(bad.status.code(), Some(2));
-    assert!(told.contains("topology.boxes: is 0") && told.contains("traffic.writes: is 2"), "{told}");
+    assert!(
+        printed.contains("topology.boxes: is 0") && printed.contains("traffic.writes: is 2"),
+        "{printed}"
+    );
     assert!(!Path::new(&path(&folder, "bad")).exists());
 }
 
 #[test]
-fn two_policies_are_told_apart_only_where_they_differ_and_a_page_is_made() {
+fn compare_shows_only_real_differences_and_report_writes_a_page() {
     let folder = Folder::new("lab").expect("a folder");
     write(&folder, "short.toml", SHORT);
     assert!(sweep(&folder, "out", "").status.success());
@@ -136,7 +139,7 @@
 "#;
 
 #[test]
-fn a_campaign_plays_each_day_once_on_both_sides_and_tells_a_broken_rule() {
+fn a_campaign_runs_each_day_once_per_side_and_reports_a_broken_rule() {
     use std::os::unix::fs::PermissionsExt;
     let folder = Folder::new("lab").expect("a folder");
     let bench = write(&folder, "bench", BENCH);
@@ -156,13 +159,13 @@
     };
     let there = sides[1].to_str().expect("a path");
     let first = campaign(&["--seeds", "7,8", "--against", there]);
-    let told = text(&first.stdout);
-    assert_eq!(first.status.code(), Some(0), "{told}{}", text(&first.stderr));
+    let printed = text(&first.stdout);
+    assert_eq!(first.status.code(), Some(0), "{printed}{}", text(&first.stderr));
     assert!(
-        told.lines().count() == 2 + 8
-            && told.contains("| served 2.8 times |")
-            && told.contains("origin 0.040"),
-        "{told}"
+        printed.lines().count() == 2 + 8
+            && printed.contains("| served 2.8 times |")
+            && printed.contains("origin 0.040"),
+        "{printed}"
     );
     // Recorded plays are not repeated; a broken rule shows in the table and in the exit code.
     let calls =
