--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -21,12 +21,12 @@
     pub drained: bool,
     /// The last command for shadow copying, and whether copying under it has stopped.
     #[serde(default, skip_serializing_if = "is_unused")]
-    pub shadow: shadow::Kept,
+    pub shadow: shadow::PersistedState,
 }
 
 /// A default value is not written, so that an older build can read the file of an instance that never copied reads.
-fn is_unused(kept: &shadow::Kept) -> bool {
-    *kept == shadow::Kept::default()
+fn is_unused(kept: &shadow::PersistedState) -> bool {
+    *kept == shadow::PersistedState::default()
 }
 
 /// Whether a change with the number `next` is to be applied: true for a later number than `current`, false for a repetition
