--- a/crates/agent/benches/fleet.rs
+++ b/crates/agent/benches/fleet.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 use testkit::agent::Agent;
 use testkit::process::{cpu, Folder, Instance};
-use testkit::scripted::nobody;
-use testkit::world::{Asked, End, Load, Target, World, WorldConfig};
+use testkit::scripted::unused_address;
+use testkit::world::{AttemptRecord, End, Load, Target, World, WorldConfig};
 
 /// Time-out of a step on a slow machine.
 const STEP_TIMEOUT: Duration = Duration::from_secs(120);
@@ -60,7 +60,7 @@
 fn max_send_delay(
     world: &World,
     box_index: usize,
-    record: &[Asked],
+    record: &[AttemptRecord],
     received_at: &HashMap<usize, Duration>,
 ) -> Duration {
     let by_id: HashMap<&str, usize> = record.iter().map(|a| (a.id.as_str(), a.proxy)).collect();
@@ -72,7 +72,7 @@
 }
 
 /// Checks that no request was lost and none took effect twice.
-fn check_rules(world: &World, load: &Load, record: &[Asked], killed: &[usize]) {
+fn check_rules(world: &World, load: &Load, record: &[AttemptRecord], killed: &[usize]) {
     let served = record.iter().filter(|a| a.end == End::Served).count();
     let proxies = record.iter().map(|a| a.proxy + 1).max().unwrap_or(0);
     let violations = world.broken(load, proxies, killed);
@@ -81,7 +81,7 @@
 }
 
 /// The 99th percentile of the response times of requests sent within a period, in milliseconds.
-fn p99_ms(record: &[Asked], from: Duration, to: Duration) -> f64 {
+fn p99_ms(record: &[AttemptRecord], from: Duration, to: Duration) -> f64 {
     let served = record.iter().filter(|a| a.end == End::Served && a.sent >= from && a.sent < to);
     let mut times: Vec<Duration> = served.map(|a| a.ended - a.sent).collect();
     times.sort_unstable();
@@ -205,7 +205,7 @@
             let socket = folder.0.join("c.sock");
             let operator = format!("version = 1\n[control]\nsocket = {socket:?}\n");
             let operator = (kind != "without").then_some(operator.as_str());
-            let config = world.proxy_config(0, nobody());
+            let config = world.proxy_config(0, unused_address());
             let program = testkit::program("trestlesill");
             let mut proxy = Instance::start(&program, &folder.0, &config, operator).expect("started");
             proxy.ready(STEP_TIMEOUT).expect("ready");
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -9,7 +9,7 @@
 use testkit::agent::{http, Agent};
 use testkit::controller::Controller;
 use testkit::scripted::PATIENCE;
-use testkit::world::{Asked, End, Load, World, WorldConfig};
+use testkit::world::{AttemptRecord, End, Load, World, WorldConfig};
 
 /// Time-out for the longest rollout of these tests on a slow machine.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -58,14 +58,14 @@
     }
 
     /// Checks that no accepted request of a running proxy was lost and none took effect twice. Returns the requests.
-    fn finish_and_check(&self, load: &Load, killed: &[usize]) -> Vec<Asked> {
+    fn finish_and_check(&self, load: &Load, killed: &[usize]) -> Vec<AttemptRecord> {
         let record = load.finish();
         assert_eq!(self.world.broken(load, self.proxies, killed), []);
         record
     }
 
     /// Counts the requests that a box received after a time, by proxy.
-    fn sent_after(&self, box_index: usize, at: Duration, record: &[Asked]) -> HashMap<usize, usize> {
+    fn sent_after(&self, box_index: usize, at: Duration, record: &[AttemptRecord]) -> HashMap<usize, usize> {
         let by_id: HashMap<&str, usize> = record.iter().map(|a| (a.id.as_str(), a.proxy)).collect();
         let mut sent = HashMap::new();
         for seen in self.world.boxes[box_index].record().iter().filter(|s| s.at > at) {
--- a/crates/ctl/tests/shadow.rs
+++ b/crates/ctl/tests/shadow.rs
@@ -86,7 +86,8 @@
     let (code, out, _) = tool(agents, &["shadow", "status"]);
     assert!(code == 0 && out.lines().all(|l| l.contains(": off, generation 0")), "{out}");
     let config = folder.0.join("planned.json");
-    std::fs::write(&config, world.proxy_config(0, testkit::scripted::nobody()).to_string()).expect("written");
+    std::fs::write(&config, world.proxy_config(0, testkit::scripted::unused_address()).to_string())
+        .expect("written");
     let promote =
         ["shadow", "promote", "--dry-run", "--config", &config.to_string_lossy(), "--candidates", "2"];
     // Without any copies a promotion is refused.
--- a/crates/lab/benches/pipeline.rs
+++ b/crates/lab/benches/pipeline.rs
@@ -80,7 +80,8 @@
     proxies.iter_mut().for_each(|p| p.ready(Duration::from_secs(20)).expect("ready"));
     if day.silent {
         let silent = SILENT.into_iter();
-        world.play(silent.fold(Script::new(), |s, b| s.for_good(Duration::from_secs(1), Fault::Silent(b))));
+        world
+            .play(silent.fold(Script::new(), |s, b| s.permanently(Duration::from_secs(1), Fault::Silent(b))));
     }
     let at: Vec<String> = proxies.iter().map(|p| p.address.to_string()).collect();
     let mut before = Totals::default();
--- a/crates/lab/benches/shadow.rs
+++ b/crates/lab/benches/shadow.rs
@@ -69,7 +69,8 @@
     std::thread::sleep(Duration::from_millis(1_600));
     if day == "silent" {
         let silent = SILENT.into_iter();
-        world.play(silent.fold(Script::new(), |s, b| s.for_good(Duration::from_secs(1), Fault::Silent(b))));
+        world
+            .play(silent.fold(Script::new(), |s, b| s.permanently(Duration::from_secs(1), Fault::Silent(b))));
     }
     let used = || proxies.iter().map(|p| cpu(p.child.id()) / 100.0).sum::<f64>();
     let before = used();
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use testkit::process::{free_port, Folder, Instance};
 use testkit::world::{
-    Asked, BoxConfig, End, Fault as Wrong, Load, Mode, Plan, Script, Target, World, WorldConfig,
+    AttemptRecord, BoxConfig, End, Fault as Wrong, Load, Mode, Plan, Script, Target, World, WorldConfig,
 };
 
 /// A proxy answers `PING` within this.
@@ -58,7 +58,7 @@
             let next = std::mem::take(&mut script);
             script = match lasts {
                 Some(lasts) => next.then(at, lasts, fault),
-                None => next.for_good(at, fault),
+                None => next.permanently(at, fault),
             };
         };
         match &f.fault {
@@ -265,8 +265,8 @@
 }
 
 /// Tries put together to requests.
-fn gathered(scenario: &Scenario, seed: u64, record: &[Asked], start: Duration) -> Summary {
-    let mut by_number: HashMap<&str, Vec<&Asked>> = HashMap::new();
+fn gathered(scenario: &Scenario, seed: u64, record: &[AttemptRecord], start: Duration) -> Summary {
+    let mut by_number: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for asked in record {
         by_number.entry(&asked.id[..10]).or_default().push(asked);
     }
--- a/crates/proxy/benches/addresses.rs
+++ b/crates/proxy/benches/addresses.rs
@@ -7,8 +7,10 @@
 
 use std::time::Duration;
 use testkit::process::{Folder, Instance};
-use testkit::scripted::{nobody, PATIENCE};
-use testkit::world::{Asked, End, Entrance, Fault, Load, Manner, Script, Target, World, WorldConfig};
+use testkit::scripted::{unused_address, PATIENCE};
+use testkit::world::{
+    AttemptRecord, End, Entrance, Fault, ListenerFault, Load, Script, Target, World, WorldConfig,
+};
 
 const BOXES: usize = 10;
 const PROXIES: usize = 2;
@@ -31,7 +33,7 @@
     let folder = Folder::new("addresses").expect("a folder");
     let start = |i| {
         let program = testkit::program("trestlesill");
-        let config = world.proxy_config(i, nobody());
+        let config = world.proxy_config(i, unused_address());
         let mut proxy = Instance::start(&program, &folder.0, &config, None).expect("started");
         proxy.ready(PATIENCE).expect("ready");
         proxy
@@ -42,7 +44,7 @@
 
 impl Setting {
     /// Runs a load and asserts the invariants on its record.
-    fn play(&self, rate: f64, writes: f64, span: Duration) -> Vec<Asked> {
+    fn play(&self, rate: f64, writes: f64, span: Duration) -> Vec<AttemptRecord> {
         let targets = self.proxies.iter().enumerate();
         let targets = targets.map(|(proxy, p)| Target { proxy, address: p.address }).collect();
         let mut load = Load::new(rate, targets);
@@ -85,7 +87,7 @@
 }
 
 /// Returns the served fraction and the 50th, 99th and 99.9th percentile of the latency in milliseconds.
-fn latency_summary(record: &[Asked]) -> (f64, [f64; 3]) {
+fn latency_summary(record: &[AttemptRecord]) -> (f64, [f64; 3]) {
     let served = record.iter().filter(|a| a.end == End::Served);
     let mut times: Vec<f64> = served.map(|a| (a.ended - a.sent).as_secs_f64() * 1e3).collect();
     times.sort_by(f64::total_cmp);
@@ -96,7 +98,12 @@
 /// Measures writes while the first addresses of all boxes fail at random times drawn from the seed.
 fn writes() {
     println!("writes: {BOXES} boxes with three addresses, {PROXIES} proxies, 800 writes a second for 26 s");
-    for (seed, manner) in [(1, Manner::Deaf), (2, Manner::Mute), (3, Manner::Stuck), (4, Manner::Resets)] {
+    for (seed, manner) in [
+        (1, ListenerFault::Deaf),
+        (2, ListenerFault::Mute),
+        (3, ListenerFault::Stuck),
+        (4, ListenerFault::Resets),
+    ] {
         let setting = start(seed, true);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut script = Script::new();
@@ -108,7 +115,7 @@
             }
         }
         // One address fails permanently.
-        script = script.for_good(Duration::from_millis(500), Fault::Door(0, 0, manner));
+        script = script.permanently(Duration::from_millis(500), Fault::Door(0, 0, manner));
         setting.world.play(script);
         let record = setting.play(800.0, 1.0, Duration::from_secs(26));
         let asked: std::collections::HashSet<_> = record.iter().filter_map(|a| a.write.as_ref()).collect();
@@ -129,8 +136,8 @@
         for (name, several_addresses, manner) in [
             ("one address", false, None),
             ("three, all well", true, None),
-            ("three, deaf", true, Some(Manner::Deaf)),
-            ("three, resetting", true, Some(Manner::Resets)),
+            ("three, deaf", true, Some(ListenerFault::Deaf)),
+            ("three, resetting", true, Some(ListenerFault::Resets)),
         ] {
             let setting = start(100 + run, several_addresses);
             if let Some(manner) = manner {
--- a/crates/proxy/benches/resp3.rs
+++ b/crates/proxy/benches/resp3.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use testkit::process::{Folder, Instance};
-use testkit::scripted::{config, encode, nobody, PATIENCE};
+use testkit::scripted::{config, encode, unused_address, PATIENCE};
 use testkit::world::{End, Load, Script, Speech, Target, World, WorldConfig};
 
 const RUNS: usize = 3;
@@ -212,7 +212,7 @@
     let world = World::start(config);
     let folder = Folder::new("world").expect("a folder");
     let start = |i| {
-        let config = world.proxy_config(i, nobody());
+        let config = world.proxy_config(i, unused_address());
         let operator = mixed.then_some(RESP3_ENABLED);
         let program = testkit::program("trestlesill");
         let mut proxy = Instance::start(&program, &folder.0, &config, operator).expect("started");
--- a/crates/proxy/tests/addresses.rs
+++ b/crates/proxy/tests/addresses.rs
@@ -13,7 +13,7 @@
 
 /// Returns a list entry for a node with these addresses.
 fn host_with_addresses(name: &str, dials: &[String]) -> Value {
-    let mut entry = host(name, nobody(), "up");
+    let mut entry = host(name, unused_address(), "up");
     entry["dials"] = json!(dials);
     entry
 }
@@ -87,7 +87,7 @@
     let folder = Folder::new("unix").expect("a folder");
     let path = folder.0.join("box.sock");
     let node = UnixNode::start(path.clone(), "one");
-    let dials = [nobody().to_string(), format!("unix:{}", path.display())];
+    let dials = [unused_address().to_string(), format!("unix:{}", path.display())];
     let proxy = start_proxy(&dials, DEFAULT_OPERATOR, |c| c["settings"]["caps"]["attempts_cap"] = json!(1));
     let mut client = proxy.client();
     for key in 0..20 {
@@ -247,7 +247,7 @@
     });
     let healthy_node = Server::start();
     let proxy = Proxy::operated(&Server::many(0), DEFAULT_OPERATOR, |c| {
-        let dead = host_with_addresses("s-1", &[address, nobody().to_string()]);
+        let dead = host_with_addresses("s-1", &[address, unused_address().to_string()]);
         c["known"] = list(41, true, &[dead, host("s-0", healthy_node.addresses[0], "up")]);
     });
     let mut client = proxy.client();
@@ -274,7 +274,7 @@
     let mut client = proxy.client();
     client.get(1, "read", 9_000);
     let (mut at_old, _) = old.command();
-    let next = host_with_addresses("s-0", &[new.addresses[0].to_string(), nobody().to_string()]);
+    let next = host_with_addresses("s-0", &[new.addresses[0].to_string(), unused_address().to_string()]);
     watch.list(&list(42, false, std::slice::from_ref(&next)));
     let mut watch = discovery.accept();
     watch.request();
@@ -355,8 +355,9 @@
     let name = |i: usize| format!("s-{i}");
     let old_hosts: Vec<Value> =
         (0..NODES).map(|i| host_with_addresses(&name(i), &[old.node("old")])).collect();
-    let new_hosts: Vec<Value> =
-        (0..NODES).map(|i| host_with_addresses(&name(i), &[nobody().to_string(), new.node("new")])).collect();
+    let new_hosts: Vec<Value> = (0..NODES)
+        .map(|i| host_with_addresses(&name(i), &[unused_address().to_string(), new.node("new")]))
+        .collect();
     let proxy = Proxy::operated(&Server::many(0), DEFAULT_OPERATOR, |c| {
         c["known"] = list(41, true, &old_hosts);
         subscribed(c, &discovery);
--- a/crates/proxy/tests/control.rs
+++ b/crates/proxy/tests/control.rs
@@ -69,7 +69,7 @@
     // A second process on the same path does not take the socket over.
     let config = scratch("second.json");
     let mut second: Value = serde_json::from_str(&controlled.proxy.text()).expect("JSON");
-    second["listen"] = json!(nobody().to_string());
+    second["listen"] = json!(unused_address().to_string());
     std::fs::write(&config, second.to_string()).expect("written");
     let args =
         std::fs::read(format!("/proc/{}/cmdline", controlled.proxy.child.id())).expect("a command line");
@@ -231,7 +231,7 @@
     assert_eq!(control.ok(json!({"op": "status"}))["phase"], "stopped");
     assert!(std::net::TcpStream::connect(controlled.proxy.address).is_err());
     assert_eq!(control.ok(json!({"op": "undrain"}))["phase"], "ready");
-    controlled.proxy.is_well();
+    controlled.proxy.assert_serving();
     // While another process has its address, the instance stays drained and reports it.
     control.ok(json!({"op": "drain"}));
     control.until(|s| s["phase"] == "stopped");
@@ -246,7 +246,7 @@
     control.ok(json!({"op": "drain"}));
     control.ok(json!({"op": "undrain"}));
     std::thread::sleep(Duration::from_millis(700));
-    controlled.proxy.is_well();
+    controlled.proxy.assert_serving();
     // A stopped instance exits at once.
     control.ok(json!({"op": "drain"}));
     control.until(|s| s["phase"] == "stopped");
--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -155,7 +155,7 @@
         let peak = proxy.status("VmHWM");
         println!("{count} hosts, list of {} bytes: peak {peak} kB", body.len());
         assert!(peak < memory << 10, "peak of {peak} kB exceeds the limit of {memory} MB");
-        proxy.is_well();
+        proxy.assert_serving();
     }
 }
 
--- a/crates/proxy/tests/library.rs
+++ b/crates/proxy/tests/library.rs
@@ -2,7 +2,7 @@
 
 use redis::{Client, Connection, RedisResult, Value};
 use testkit::process::{Folder, Instance};
-use testkit::scripted::{nobody, PATIENCE};
+use testkit::scripted::{unused_address, PATIENCE};
 use testkit::world::{Speech, World, WorldConfig};
 
 struct Setting {
@@ -16,7 +16,7 @@
     config.boxes.iter_mut().step_by(2).for_each(|node| (node.speech, node.pushes) = (Speech::Three, 0.3));
     let world = World::start(config);
     let folder = Folder::new("library").expect("a folder");
-    let config = world.proxy_config(0, nobody());
+    let config = world.proxy_config(0, unused_address());
     let program = testkit::program("trestlesill");
     let mut proxy = Instance::start(&program, &folder.0, &config, Some(operator)).expect("started");
     if !operator.contains("users") {
--- a/crates/proxy/tests/long.rs
+++ b/crates/proxy/tests/long.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_truncated_value_closes_its_client_and_is_not_retried() {
     let nodes = Server::many(2);
-    let admin = nobody();
+    let admin = unused_address();
     let proxy = Proxy::with(&nodes, |c| c["admin_addr"] = json!(admin.to_string()));
     let (mut client, mut other) = (proxy.client(), proxy.client());
     client.get(1, "read", 15_000);
@@ -157,7 +157,7 @@
         closed |= matches!(at_node.stream.read(&mut [0]), Ok(0));
         closed
     });
-    proxy.is_well();
+    proxy.assert_serving();
 }
 
 #[test]
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -42,7 +42,7 @@
 
 /// Starts a proxy with an admin address.
 fn start_with_admin(nodes: &Server) -> (Proxy, SocketAddr) {
-    let admin = nobody();
+    let admin = unused_address();
     (Proxy::with(nodes, |c| c["admin_addr"] = json!(admin.to_string())), admin)
 }
 
@@ -85,12 +85,12 @@
 #[test]
 fn draining_and_unreachable_nodes_are_counted_as_listed_and_down() {
     let node = Server::start();
-    let admin = nobody();
+    let admin = unused_address();
     let proxy = Proxy::with(&node, |c| {
         let hosts = [
             host("s-0", node.addresses[0], "up"),
-            host("s-1", nobody(), "up"),
-            host("s-2", nobody(), "draining"),
+            host("s-1", unused_address(), "up"),
+            host("s-2", unused_address(), "draining"),
         ];
         (c["known"], c["admin_addr"]) = (list(41, true, &hosts), json!(admin.to_string()));
     });
@@ -117,7 +117,7 @@
     for invalid in ["", "disable", "READY", &"x".repeat(4 << 10)] {
         assert!(call_admin(admin, invalid).starts_with("error "), "{invalid:.20}");
     }
-    proxy.is_well();
+    proxy.assert_serving();
 }
 
 /// Starts a proxy on an inherited listening socket, with an admin address of its own.
@@ -138,7 +138,7 @@
 fn a_new_process_takes_over_the_listening_socket_without_losing_requests() {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let nodes = Server::many(1);
-    let (first, second) = (nobody(), nobody());
+    let (first, second) = (unused_address(), unused_address());
     let mut old = start_on_socket(&socket, &nodes, first);
     wait_for_answer(first, "ready", "done\n");
     let (mut client, mut peers) = (old.client(), Vec::new());
--- a/crates/proxy/tests/pipeline.rs
+++ b/crates/proxy/tests/pipeline.rs
@@ -703,7 +703,7 @@
             if depth == 128 { served >= 128 } else { served > 128 },
             "{served} served with a depth of {depth}"
         );
-        proxy.is_well();
+        proxy.assert_serving();
     }
 }
 
@@ -780,7 +780,7 @@
 }
 
 fn config_text() -> String {
-    config(&[nobody()]).to_string()
+    config(&[unused_address()]).to_string()
 }
 
 #[test]
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -54,7 +54,7 @@
 fn an_unsafe_write_is_retried_after_a_refused_connection() {
     let node = Server::start();
     let proxy = Proxy::with(&node, |c| {
-        let hosts = [host("s-1", nobody(), "up"), host("s-0", node.addresses[0], "up")];
+        let hosts = [host("s-1", unused_address(), "up"), host("s-0", node.addresses[0], "up")];
         c["known"] = list(41, true, &hosts);
     });
     // A write that is not safe to repeat goes to the other node, whichever node its key prefers.
@@ -72,7 +72,7 @@
 #[test]
 fn a_request_is_rejected_if_no_node_accepts_connections() {
     let proxy = Proxy::with(&Server::many(0), |c| {
-        c["known"] = list(41, true, &[host("s-1", nobody(), "up")]);
+        c["known"] = list(41, true, &[host("s-1", unused_address(), "up")]);
     });
     let mut client = proxy.client();
     client.set(1, "once", 15_000, "v");
@@ -287,7 +287,7 @@
     // The first write arrived complete, the last did not. No node is left, so those that never ran are rejected.
     let mut first = nodes.accept();
     assert_eq!(first.command()[2], "0");
-    proxy.is_well();
+    proxy.assert_serving();
     first.reset();
     let mut answers = Vec::new();
     for number in 0..WRITES {
@@ -613,7 +613,7 @@
     // A configuration that cannot be parsed or applied changes nothing, and the watch continues.
     for invalid in ["", "{\"listen\":", "{}"] {
         proxy.reload(invalid);
-        proxy.is_well();
+        proxy.assert_serving();
     }
     watch.list(&list(42, false, &[]));
     let mut watch = old.accept();
@@ -644,7 +644,7 @@
     let (mut at_node, _) = node.command();
     client.reset();
     assert!(at_node.rest().is_empty());
-    proxy.is_well();
+    proxy.assert_serving();
 }
 
 #[test]
@@ -656,7 +656,7 @@
         client.get(1, "read", 15_000);
         client.stream.shutdown(std::net::Shutdown::Write).expect("shut down");
         // Once this is answered, the proxy has read the end of the client's stream.
-        proxy.is_well();
+        proxy.assert_serving();
         let (mut at_node, _) = nodes.command();
         // No further attempt is made for a client that may have left: the open attempt decides.
         at_node.send(reply);
@@ -678,7 +678,7 @@
     // It still accepts new clients and serves existing ones.
     idle.send(encode(&["PING"]));
     assert_eq!(idle.line(), "+PONG");
-    proxy.is_well();
+    proxy.assert_serving();
     // The close of an idle connection shows that the accept window is over; accepted requests are still answered.
     let mut watcher = idle;
     assert!(watcher.rest().is_empty());
@@ -917,7 +917,7 @@
     let started = std::time::Instant::now();
     assert!(clients[0].rest().is_empty() && clients[1].rest().is_empty());
     assert!(started.elapsed() < std::time::Duration::from_secs(8), "{:?}", started.elapsed());
-    proxy.is_well();
+    proxy.assert_serving();
 }
 
 #[test]
--- a/crates/proxy/tests/resp3.rs
+++ b/crates/proxy/tests/resp3.rs
@@ -415,7 +415,7 @@
         let _ = node.stream.write_all(invalid.as_bytes());
         assert_eq!(client.line(), "-ERR failed", "{:?}", invalid.get(..40).unwrap_or(invalid));
         while node.stream_is_open() {}
-        proxy.is_well();
+        proxy.assert_serving();
         assert!(proxy.status("VmHWM") < 16 << 10, "peak of {} kB", proxy.status("VmHWM"));
     }
     // Valid replies without a value fail their request and keep the connection usable.
--- a/crates/proxy/tests/restarts.rs
+++ b/crates/proxy/tests/restarts.rs
@@ -49,7 +49,7 @@
     // The next process receives its list in two parts, far apart.
     let discovery = Server::start();
     subscribed(&mut process_config, &discovery);
-    process_config["listen"] = json!(nobody().to_string());
+    process_config["listen"] = json!(unused_address().to_string());
     let proxy = Proxy::with(&nodes, |c| *c = process_config);
     let mut watch = discovery.accept();
     watch.request();
--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -193,7 +193,7 @@
     let candidates = [
         ("silent", start_candidate(read_without_answering), "late"),
         ("slow", slow, "late"),
-        ("refusing", (nobody(), Arc::default()), "error"),
+        ("refusing", (unused_address(), Arc::default()), "error"),
         ("resetting", (answering(|_| None), Arc::default()), "error"),
         ("spoilt", repeating_response(b"?what\r\n".to_vec(), false), "error"),
         ("4 MiB", repeating_response(long, false), "error"),
@@ -233,7 +233,7 @@
                     (&json!(sent_reads), &json!(sent_reads)),
                     "{what}"
                 );
-                proxy.is_well();
+                proxy.assert_serving();
             });
         }
     });
@@ -349,7 +349,7 @@
 #[test]
 fn invalid_shadow_settings_are_rejected_with_all_errors_listed() {
     let nodes = Server::start();
-    let (text, _) = operator_file(&[nodes.addresses[0], nobody()], "tenants = [\"unknown\"]\n");
+    let (text, _) = operator_file(&[nodes.addresses[0], unused_address()], "tenants = [\"unknown\"]\n");
     let text = text.replace("[\"read\"]", "[\"read\", \"put\", \"once\", \"none\"]");
     let (operator, config_file) = (scratch("operator.toml"), scratch("config.json"));
     let mut config = config(&nodes.addresses);
--- a/crates/proxy/tests/world.rs
+++ b/crates/proxy/tests/world.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 use testkit::process::{Folder, Instance};
-use testkit::scripted::{nobody, PATIENCE};
+use testkit::scripted::{unused_address, PATIENCE};
 use testkit::world::{
-    End, Entrance, Fault, Health, Load, Manner, Mode, Script, Speech, Target, World, WorldConfig,
+    End, Entrance, Fault, Health, ListenerFault, Load, Mode, Script, Speech, Target, World, WorldConfig,
 };
 
 struct Setting {
@@ -27,7 +27,7 @@
     let folder = Folder::new("world").expect("a folder");
     let program = testkit::program("trestlesill");
     let start = |i| {
-        let mut config = world.proxy_config(i, nobody());
+        let mut config = world.proxy_config(i, unused_address());
         edit(&mut config);
         let mut proxy = Instance::start(&program, &folder.0, &config, operator).expect("started");
         proxy.ready(PATIENCE).expect("ready");
@@ -83,18 +83,17 @@
     config.lag = Duration::from_millis(700);
     let setting = start(config);
     let ms = Duration::from_millis;
-    let script = Script::new().for_good(ms(300), Fault::Drain(0)).for_good(ms(300), Fault::Drain(3)).then(
-        ms(1_400),
-        ms(800),
-        Fault::Discovery(Mode::Silent),
-    );
+    let script = Script::new()
+        .permanently(ms(300), Fault::Drain(0))
+        .permanently(ms(300), Fault::Drain(3))
+        .then(ms(1_400), ms(800), Fault::Discovery(Mode::Silent));
     setting.world.play(script);
     let load = setting.world.load(Load::new(150.0, setting.targets()));
     std::thread::sleep(Duration::from_secs(3));
     let (served, attempted) = setting.assert_invariants(&load);
     for i in 0..2 {
         assert!(
-            setting.world.discovery.told_of(i, "s-3", Health::Draining).is_some(),
+            setting.world.discovery.first_sent(i, "s-3", Health::Draining).is_some(),
             "n{i} was not notified of the drain"
         );
     }
@@ -116,12 +115,12 @@
         }
         // Watches that are open during this fault stay silent permanently.
         let script = Script::new().then(ms(100), ms(300), Fault::Discovery(Mode::Silent));
-        let script = (0..3).fold(script, |s, b| s.for_good(ms(600), Fault::Drain(b)));
+        let script = (0..3).fold(script, |s, b| s.permanently(ms(600), Fault::Drain(b)));
         let since = Instant::now();
         setting.world.play(script);
         let load = setting.world.load(Load::new(200.0, setting.targets()));
         let is_notified = |i: usize, b: usize| {
-            setting.world.discovery.told_of(i, &format!("s-{b}"), Health::Draining).is_some()
+            setting.world.discovery.first_sent(i, &format!("s-{b}"), Health::Draining).is_some()
         };
         let all_notified = || (0..12).all(|i| (0..3).all(|b| is_notified(i, b)));
         let timeout = ms(deadline_ms + 400);
@@ -164,7 +163,7 @@
         let (served, attempted) = setting.assert_invariants(&load);
         assert!(served * 2 > attempted, "seed {seed}: {served} of {attempted} served");
         for protocol in [Protocol::Two, Protocol::Three] {
-            let of = |a: &&testkit::world::Asked| a.protocol == protocol && a.end == End::Served;
+            let of = |a: &&testkit::world::AttemptRecord| a.protocol == protocol && a.end == End::Served;
             assert!(load.record().iter().filter(of).count() > attempted / 8, "seed {seed}: {protocol:?}");
         }
     }
@@ -206,8 +205,12 @@
 #[test]
 fn a_write_takes_effect_once_under_failures_of_the_addresses_of_its_box() {
     let (ms, mut moved) = (Duration::from_millis, 0);
-    for (seed, manner) in [(41, Manner::Deaf), (42, Manner::Mute), (43, Manner::Stuck), (44, Manner::Resets)]
-    {
+    for (seed, manner) in [
+        (41, ListenerFault::Deaf),
+        (42, ListenerFault::Mute),
+        (43, ListenerFault::Stuck),
+        (44, ListenerFault::Resets),
+    ] {
         let mut config = WorldConfig::new(seed, 6, 2);
         config.boxes.iter_mut().for_each(|b| b.doors = vec![Entrance::Six, Entrance::Unix]);
         let setting = start(config);
@@ -257,8 +260,8 @@
     let mut config = WorldConfig::new(51, BOXES, PROXIES);
     config.boxes.iter_mut().for_each(|b| b.doors = vec![Entrance::Six]);
     let setting = start(config);
-    let script =
-        (0..BOXES / 2).fold(Script::new(), |s, i| s.for_good(ms(1_500), Fault::Door(2 * i, 0, Manner::Deaf)));
+    let script = (0..BOXES / 2)
+        .fold(Script::new(), |s, i| s.permanently(ms(1_500), Fault::Door(2 * i, 0, ListenerFault::Deaf)));
     setting.world.play(script);
     let mut load = Load::new(200.0, setting.targets());
     load.writes = 0.1;
@@ -286,7 +289,7 @@
     let mut config = WorldConfig::new(52, 12, 2);
     config.boxes.iter_mut().for_each(|b| b.doors = vec![Entrance::Six, Entrance::Unix]);
     let mut setting = start(config);
-    setting.world.play(Script::new().then(ms(700), ms(900), Fault::Door(0, 0, Manner::Mute)));
+    setting.world.play(Script::new().then(ms(700), ms(900), Fault::Door(0, 0, ListenerFault::Mute)));
     let mut load = Load::new(120.0, setting.targets());
     load.writes = 0.5;
     let load = setting.world.load(load);
@@ -335,7 +338,7 @@
             c["settings"]["n_instances"] = serde_json::json!(12);
         });
         let whole = Duration::from_secs(4);
-        let script = silent.iter().fold(Script::new(), |s, b| s.for_good(whole / 4, Fault::Silent(*b)));
+        let script = silent.iter().fold(Script::new(), |s, b| s.permanently(whole / 4, Fault::Silent(*b)));
         setting.world.play(script);
         let load = setting.world.load(Load::new(300.0, setting.targets()));
         std::thread::sleep(whole);
--- a/crates/testkit/src/agent.rs
+++ b/crates/testkit/src/agent.rs
@@ -1,7 +1,7 @@
 //! Runs an agent whose fleet serves a world, with a simple client of its API.
 
 use crate::process::Folder;
-use crate::scripted::{nobody, PATIENCE};
+use crate::scripted::{unused_address, PATIENCE};
 use crate::world::{Target, World};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -193,7 +193,7 @@
         let instances: BTreeMap<String, Value> = (0..proxies)
             .map(|i| {
                 let name = format!("n{i}");
-                let address = self.addresses.entry(name.clone()).or_insert_with(nobody);
+                let address = self.addresses.entry(name.clone()).or_insert_with(unused_address);
                 let mut config = world.proxy_config(i, *address);
                 edit(&mut config);
                 let zone = config["settings"]["localities"][world.zone_of(i)].clone();
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -16,7 +16,7 @@
 
 /// Returns an address without a listener that is unique across tests and processes. It is computed rather than probed by
 /// binding a port: a probe socket could be inherited by a program that another thread starts at the same time.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     address_of(std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed))
 }
@@ -335,7 +335,7 @@
             "group": "all", "dedup_window_ns": 5_000_000_000u64, "value": 1.0, "late_value": 0.0, "stream": false})
     };
     json!({
-        "name": "n0", "listen": nobody().to_string(), "discovery": "127.0.0.1:1",
+        "name": "n0", "listen": unused_address().to_string(), "discovery": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
         "known": list(41, true, &hosts),
         "settings": {
@@ -486,7 +486,7 @@
     }
 
     /// Asserts that the proxy still answers `PING`.
-    pub fn is_well(&self) {
+    pub fn assert_serving(&self) {
         let mut client = self.client();
         client.send(encode(&["PING"]));
         assert_eq!(client.line(), "+PONG");
--- a/crates/testkit/src/world/boxes.rs
+++ b/crates/testkit/src/world/boxes.rs
@@ -1,7 +1,7 @@
 //! Cache boxes as the protocol documentation describes them: read-through caching, a bounded queue in front of a few
 //! cores, a connection limit, slow start after a restart, and replies in the order of the commands.
 
-use super::doors::{Door, Entrance, Manner, Stream};
+use super::doors::{Door, Entrance, ListenerFault, Stream};
 use super::network::Network;
 use super::origin::{Cache, Origin};
 use super::speech::{hello_reply, to_resp3, Speech};
@@ -329,7 +329,7 @@
         let reading = async {
             loop {
                 if let Some(door) = manner {
-                    door.wait_while(|m| m == Manner::Stuck).await;
+                    door.wait_while(|m| m == ListenerFault::Stuck).await;
                 }
                 let read = tokio::time::timeout(self.config.idle, input.read(&mut buffer)).await;
                 let n = match read {
@@ -342,7 +342,7 @@
                     _ => return,
                 };
                 self.network.whole(zone, own_zone).await;
-                if manner.is_some_and(|d| d.manner() == Manner::Deaf) {
+                if manner.is_some_and(|d| d.manner() == ListenerFault::Deaf) {
                     continue;
                 }
                 let mut unparsed = &buffer[..n];
@@ -381,7 +381,7 @@
                 tokio::time::sleep_until(due).await;
                 self.network.whole(own_zone, zone).await;
                 if let Some(door) = manner {
-                    door.wait_while(|m| m == Manner::Mute).await;
+                    door.wait_while(|m| m == ListenerFault::Mute).await;
                 }
                 if broken.get() || output.write_all(&answer).await.is_err() {
                     return;
--- a/crates/testkit/src/world/clients.rs
+++ b/crates/testkit/src/world/clients.rs
@@ -37,7 +37,7 @@
 
 /// An attempt of a request and its outcome.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct AttemptRecord {
     /// Request id; each retry has its own.
     pub id: String,
     /// Requested key.
@@ -83,7 +83,7 @@
     /// Predefined requests, which replace those generated at `rate`.
     pub plan: Option<Plan>,
     front: Mutex<Vec<Target>>,
-    record: Mutex<Vec<Asked>>,
+    record: Mutex<Vec<AttemptRecord>>,
     open: AtomicUsize,
     stopped: AtomicBool,
     extra: AtomicUsize,
@@ -146,7 +146,7 @@
     }
 
     /// Returns all finished attempts.
-    pub fn record(&self) -> Vec<Asked> {
+    pub fn record(&self) -> Vec<AttemptRecord> {
         lock(&self.record).clone()
     }
 
@@ -165,7 +165,7 @@
     ///
     /// # Panics
     /// If that takes more than 20 s.
-    pub fn finish(&self) -> Vec<Asked> {
+    pub fn finish(&self) -> Vec<AttemptRecord> {
         self.stopped.store(true, Ordering::Relaxed);
         let begun = std::time::Instant::now();
         while self.open.load(Ordering::Relaxed) > 0 {
@@ -234,7 +234,7 @@
                 self.attempt(clock, pool, &id, key, write.as_deref(), wait, protocol, rng).await;
             let ended = clock.now();
             let write_key = write.clone();
-            let asked = Asked { id, key, write: write_key, proxy, sent, ended, end, tries, protocol };
+            let asked = AttemptRecord { id, key, write: write_key, proxy, sent, ended, end, tries, protocol };
             lock(&self.record).push(asked);
             // The client must not repeat a write that may have been executed; a rejected one has not been.
             if end == End::Served || (write.is_some() && end != End::Refused) {
--- a/crates/testkit/src/world/discovery.rs
+++ b/crates/testkit/src/world/discovery.rs
@@ -48,7 +48,7 @@
 
 /// A list that was sent to a proxy.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct SentList {
     /// When it was sent.
     pub at: Duration,
     /// Number of the proxy.
@@ -83,7 +83,7 @@
     entries: Mutex<Vec<Entry>>,
     version: watch::Sender<u64>,
     mode: watch::Sender<Mode>,
-    told: Mutex<Vec<Told>>,
+    told: Mutex<Vec<SentList>>,
 }
 
 impl Discovery {
@@ -113,14 +113,14 @@
     }
 
     /// Returns all lists that were sent.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<SentList> {
         lock(&self.told).clone()
     }
 
     /// Returns when a proxy was first sent this state of a box.
-    pub fn told_of(&self, proxy: usize, name: &str, health: Health) -> Option<Duration> {
+    pub fn first_sent(&self, proxy: usize, name: &str, health: Health) -> Option<Duration> {
         let told = lock(&self.told);
-        let fits = |t: &&Told| t.proxy == proxy && t.hosts.iter().any(|(n, h)| n == name && *h == health);
+        let fits = |t: &&SentList| t.proxy == proxy && t.hosts.iter().any(|(n, h)| n == name && *h == health);
         told.iter().find(fits).map(|t| t.at)
     }
 
@@ -282,7 +282,7 @@
         let hosts =
             hosts.iter().map(|h| (h["host"].as_str().unwrap_or_default().to_owned(), health(h))).collect();
         let version = list["seq"].as_u64().unwrap_or(0);
-        lock(&self.told).push(Told { at: self.clock.now(), proxy, version, hosts });
+        lock(&self.told).push(SentList { at: self.clock.now(), proxy, version, hosts });
         respond(&mut stream, "200 OK", &list.to_string()).await
     }
 }
--- a/crates/testkit/src/world/doors.rs
+++ b/crates/testkit/src/world/doors.rs
@@ -22,7 +22,7 @@
 
 /// Fault mode of an additional listener.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum ListenerFault {
     /// No fault: behaves like the box.
     #[default]
     Well,
@@ -66,7 +66,7 @@
     /// Address in the format of discovery.
     pub address: String,
     listener: Mutex<Option<Listener>>,
-    manner: watch::Sender<Manner>,
+    manner: watch::Sender<ListenerFault>,
     path: Option<std::path::PathBuf>,
 }
 
@@ -92,17 +92,17 @@
     }
 
     /// Sets the fault mode, for new and existing connections.
-    pub fn behaves(&self, manner: Manner) {
+    pub fn behaves(&self, manner: ListenerFault) {
         self.manner.send_replace(manner);
     }
 
     /// Returns the fault mode.
-    pub fn manner(&self) -> Manner {
+    pub fn manner(&self) -> ListenerFault {
         *self.manner.borrow()
     }
 
     /// Waits while the fault mode satisfies `like`.
-    pub(super) async fn wait_while(&self, like: impl Fn(Manner) -> bool) {
+    pub(super) async fn wait_while(&self, like: impl Fn(ListenerFault) -> bool) {
         let _ = self.manner.subscribe().wait_for(|m| !like(*m)).await;
     }
 
@@ -111,8 +111,8 @@
         let zone = owner.config.zone;
         let accepted = move |door: &Door, stream: Result<TcpStream, UnixStream>| match (door.manner(), stream)
         {
-            (Manner::Resets, Ok(stream)) => stream.reset(),
-            (Manner::Resets, Err(_)) => {}
+            (ListenerFault::Resets, Ok(stream)) => stream.reset(),
+            (ListenerFault::Resets, Err(_)) => {}
             (_, Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 owner.clone().handle_connection(stream, zone, number);
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::boxes::CacheBox;
 use super::discovery::{Discovery, Health, Mode};
-use super::doors::Manner;
+use super::doors::ListenerFault;
 use super::network::Network;
 use super::origin::Origin;
 use super::speech::Speech;
@@ -33,7 +33,7 @@
     /// The origin stops processing.
     Origin,
     /// An additional listener of a box, by number, has this fault mode.
-    Door(usize, usize, Manner),
+    Door(usize, usize, ListenerFault),
     /// A box's process stops and starts again with another protocol version; discovery publishes the restart.
     Upgrade(usize, Speech),
 }
@@ -69,7 +69,7 @@
     }
 
     /// Adds a permanent fault that starts at `at`.
-    pub fn for_good(mut self, at: Duration, fault: Fault) -> Self {
+    pub fn permanently(mut self, at: Duration, fault: Fault) -> Self {
         self.steps.push(Step { at, lasts: None, fault });
         self
     }
@@ -139,7 +139,7 @@
             });
         }
         Fault::Door(i, door, manner) => {
-            at(i).doors[door].behaves(if on { manner } else { Manner::Well });
+            at(i).doors[door].behaves(if on { manner } else { ListenerFault::Well });
         }
         Fault::Cut(zone) => network.cut(zone, on),
         Fault::Discovery(mode) => discovery.mode(if on { mode } else { Mode::Well }),
--- a/crates/testkit/src/world/mod.rs
+++ b/crates/testkit/src/world/mod.rs
@@ -17,9 +17,9 @@
 mod speech;
 
 pub use boxes::{BoxConfig, CacheBox, Seen};
-pub use clients::{Asked, End, Load, Plan, Target};
-pub use discovery::{Discovery, Health, Mode, Told};
-pub use doors::{Door, Entrance, Manner};
+pub use clients::{AttemptRecord, End, Load, Plan, Target};
+pub use discovery::{Discovery, Health, Mode, SentList};
+pub use doors::{Door, Entrance, ListenerFault};
 pub use faults::{Fault, Script, Step};
 pub use network::Network;
 pub use origin::Origin;
@@ -235,7 +235,8 @@
         let record = load.record();
         let broken = |rule, id: Option<&str>, what| Broken { rule, id: id.map(str::to_owned), what };
         let mut all: Vec<Broken> = Vec::new();
-        let bad = |a: &&Asked| a.end == End::Wrong || (a.end == End::Lost && !killed.contains(&a.proxy));
+        let bad =
+            |a: &&AttemptRecord| a.end == End::Wrong || (a.end == End::Lost && !killed.contains(&a.proxy));
         for asked in record.iter().filter(bad) {
             all.push(broken("lost", Some(&asked.id), format!("{:?} at proxy {}", asked.end, asked.proxy)));
         }
@@ -258,7 +259,7 @@
         for one in &self.boxes {
             for i in (0..proxies).filter(|i| !killed.contains(i)) {
                 let name = &one.config.name;
-                let Some(notified) = self.discovery.told_of(i, name, Health::Draining) else { continue };
+                let Some(notified) = self.discovery.first_sent(i, name, Health::Draining) else { continue };
                 let ups = self.discovery.told().into_iter().filter(|t| t.proxy == i && t.at > notified);
                 let back = ups.filter(|t| t.hosts.contains(&(name.clone(), Health::Up))).map(|t| t.at).next();
                 let late = one.record().into_iter().find(|s| {
--- a/crates/testkit/tests/world.rs
+++ b/crates/testkit/tests/world.rs
@@ -199,8 +199,8 @@
     });
     let hosts = &watching.1["hosts"];
     assert_eq!((&hosts[0]["host"], &hosts[0]["health"]), (&"s-1".into(), &"draining".into()));
-    assert!(world.discovery.told_of(1, "s-1", Health::Draining).is_some());
-    assert!(world.discovery.told_of(0, "s-1", Health::Draining).is_none());
+    assert!(world.discovery.first_sent(1, "s-1", Health::Draining).is_some());
+    assert!(world.discovery.first_sent(0, "s-1", Health::Draining).is_none());
     // Each zone has its own address of a box.
     let dial = |proxy| request(&world, proxy, "/catalog/members").1["hosts"][0]["dial"].clone();
     assert_ne!(dial(0), dial(1));
@@ -234,7 +234,7 @@
     let world = world_with_one_box(|_| {});
     let (at, lasts) = (Duration::from_millis(1), Duration::from_millis(150));
     world.play(
-        Script::new().then(at, lasts, Fault::Down(0)).for_good(at, Fault::Discovery(Mode::Unavailable)),
+        Script::new().then(at, lasts, Fault::Down(0)).permanently(at, Fault::Discovery(Mode::Unavailable)),
     );
     let reach = || Peer::reaches(world.boxes[0].addresses[0]);
     wait_until("the box is down", || reach().is_none_or(|mut peer| peer.rest().is_empty()));
