--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -147,8 +147,8 @@
     pub report: shadow::Report,
     /// Keys with different answers, the latest first, if the operator enabled samples.
     pub samples: Vec<shadow::Sample>,
-    /// Latency histograms by class name: the bytes of `shadow::verdict::Times` in base64. Those of several instances can
-    /// be merged.
+    /// Latency histograms by class name: the bytes of `shadow::verdict::LatencyHistograms` in base64. Those of several
+    /// instances can be merged.
     pub times: BTreeMap<String, String>,
 }
 
