--- a/crates/model/src/baseline_policies.rs
+++ b/crates/model/src/baseline_policies.rs
@@ -1,6 +1,6 @@
-//! Policies to compare the shipped one with. All share one chassis, so that they differ in the choice alone: an attempt
-//! has half of the time that is left, the last all of it; what may be repeated is, at another box; nothing is turned
-//! away before it was tried.
+//! Baseline policies that the shipped balancer is compared with. They share one implementation and differ only in how
+//! they choose a box: an attempt gets half of the remaining time and the last attempt all of it, requests that are safe
+//! to retry are retried at another box, and none is rejected before its first attempt.
 
 use crate::policy::{Policy, Shipped, Truth};
 use crate::random::RandomSource;
@@ -21,7 +21,7 @@
     "oracle",
 ];
 
-/// Makes a policy by its name; nothing if there is none of that name.
+/// Creates a policy by name; `None` if the name is unknown.
 pub fn make(name: &str, settings: &Settings, seed: u64) -> Option<Box<dyn Policy>> {
     let rule = match name {
         "shipped" => return Some(Box::new(Shipped::new(settings, seed))),
@@ -40,42 +40,42 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// Any box.
+    /// A box drawn at random.
     Random,
-    /// One after the other.
+    /// The boxes in turn.
     RoundRobin,
-    /// The box with the fewest attempts of this proxy out for its weight.
+    /// The box with the fewest outstanding attempts of this proxy relative to its weight.
     LeastOutstanding,
-    /// The less loaded of two drawn by chance (Mitzenmacher, 2001).
+    /// The less loaded of two boxes drawn at random (Mitzenmacher, 2001).
     TwoChoices,
-    /// The key's first box by weighted rendezvous hashing, the next on a repeat.
+    /// The key's first box by weighted rendezvous hashing, the next on a retry.
     Rendezvous,
-    /// The same, passed over while it holds more than 1.25 times its part (Mirrokni, Thorup, Zadimoghaddam, 2018).
+    /// The same, skipping boxes that hold more than 1.25 times their fair share (Mirrokni, Thorup, Zadimoghaddam, 2018).
     BoundedLoads,
-    /// The paper's rule as printed: each key has two candidates, asks both in turn, and stays for good with the
-    /// first that gives two hits in a row.
+    /// The paper's rule as printed: each key has two candidates, alternates between them, and is pinned
+    /// permanently to the first that gives two consecutive hits.
     Paper,
-    /// The box that would serve it soonest, as the model knows it.
+    /// The box that would serve the request soonest according to the simulation's true state.
     Oracle,
 }
 
-/// Candidates of a key, and straight hits, of the paper's rule.
+/// The paper's parameters: candidates for a key (`SIGMA`) and consecutive hits before it is pinned (`TAU`).
 const SIGMA: usize = 2;
 const TAU: usize = 2;
-/// The part beyond its fair one that a box may hold.
-const BOUND: f64 = 1.25;
+/// Multiple of its fair share that a box may hold.
+const LOAD_BOUND: f64 = 1.25;
 
 struct Open {
     request: Request,
     until: Nanos,
     tried: Vec<ServerId>,
     out: u32,
-    /// None of the attempts so far may have run.
-    unseen: bool,
+    /// No attempt so far can have run.
+    never_ran: bool,
 }
 
 #[derive(Default)]
-struct Trial {
+struct CandidateState {
     windows: [VecDeque<bool>; SIGMA],
     pinned: Option<usize>,
     turn: usize,
@@ -84,11 +84,11 @@
 struct BaselinePolicy {
     rule: Rule,
     settings: Settings,
-    chance: RandomSource,
+    random: RandomSource,
     boxes: Vec<ServerEntry>,
     out: FxHashMap<ServerId, u32>,
     open: FxHashMap<RequestId, Open>,
-    trials: FxHashMap<u64, Trial>,
+    candidate_states: FxHashMap<u64, CandidateState>,
     turn: usize,
 }
 
@@ -103,16 +103,16 @@
         BaselinePolicy {
             rule,
             settings,
-            chance: RandomSource::new(seed, 77),
+            random: RandomSource::new(seed, 77),
             boxes: Vec::new(),
             out: FxHashMap::default(),
             open: FxHashMap::default(),
-            trials: FxHashMap::default(),
+            candidate_states: FxHashMap::default(),
             turn: 0,
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
+    fn update_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             actions.push(Action::Subscribe);
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    fn held(&self, entry: &ServerEntry) -> f64 {
+    fn load(&self, entry: &ServerEntry) -> f64 {
         f64::from(self.out.get(&entry.server).copied().unwrap_or(0)) / entry.weight.max(1e-9)
     }
 
@@ -161,19 +161,19 @@
         }
         let key = request.key.unwrap_or(request.id);
         let at = match self.rule {
-            Rule::Random => usable[self.chance.below(n)],
+            Rule::Random => usable[self.random.below(n)],
             Rule::RoundRobin => {
                 self.turn += 1;
                 usable[self.turn % n]
             }
             Rule::LeastOutstanding => {
-                let first = self.chance.below(n);
-                let turned = usable[first..].iter().chain(&usable[..first]);
-                *turned.min_by(|a, b| self.held(&self.boxes[**a]).total_cmp(&self.held(&self.boxes[**b])))?
+                let first = self.random.below(n);
+                let rotated = usable[first..].iter().chain(&usable[..first]);
+                *rotated.min_by(|a, b| self.load(&self.boxes[**a]).total_cmp(&self.load(&self.boxes[**b])))?
             }
             Rule::TwoChoices => {
-                let (a, b) = (usable[self.chance.below(n)], usable[self.chance.below(n)]);
-                if self.held(&self.boxes[a]) <= self.held(&self.boxes[b]) {
+                let (a, b) = (usable[self.random.below(n)], usable[self.random.below(n)]);
+                if self.load(&self.boxes[a]) <= self.load(&self.boxes[b]) {
                     a
                 } else {
                     b
@@ -183,18 +183,18 @@
             Rule::BoundedLoads => {
                 let weight: f64 = usable.iter().map(|i| self.boxes[*i].weight).sum();
                 let out: u32 = usable.iter().filter_map(|i| self.out.get(&self.boxes[*i].server)).sum();
-                let fair = f64::from(out + 1) / weight * BOUND;
+                let fair = f64::from(out + 1) / weight * LOAD_BOUND;
                 let order = self.ranked(key, &usable, n);
-                let room = |i: &&usize| self.held(&self.boxes[**i]) < fair.max(1.0);
+                let room = |i: &&usize| self.load(&self.boxes[**i]) < fair.max(1.0);
                 *order.iter().find(room).or(order.first())?
             }
             Rule::Paper => {
-                // Candidates come from the whole list: who is drained or dead keeps its place.
+                // Candidates come from the full list: drained and dead boxes keep their rank.
                 let all: Vec<usize> = (0..self.boxes.len()).collect();
                 let candidates = self.ranked(key, &all, SIGMA);
-                let trial = self.trials.entry(key).or_default();
-                trial.turn += 1;
-                let first = trial.pinned.unwrap_or(trial.turn % SIGMA);
+                let state = self.candidate_states.entry(key).or_default();
+                state.turn += 1;
+                let first = state.pinned.unwrap_or(state.turn % SIGMA);
                 let order = (0..SIGMA).map(|i| (first + i) % SIGMA);
                 let fit = order.filter_map(|c| candidates.get(c)).find(|i| usable.contains(i));
                 match fit {
@@ -203,16 +203,16 @@
                 }
             }
             Rule::Oracle => {
-                let first = self.chance.below(n);
-                let turned = usable[first..].iter().chain(&usable[..first]);
-                let known = turned.filter_map(|i| Some((truth.wait(self.boxes[*i].server)?, *i)));
+                let first = self.random.below(n);
+                let rotated = usable[first..].iter().chain(&usable[..first]);
+                let known = rotated.filter_map(|i| Some((truth.wait(self.boxes[*i].server)?, *i)));
                 known.min_by_key(|(wait, _)| *wait)?.1
             }
         };
         Some(self.boxes[at].server)
     }
 
-    /// Tries it at the next box, or gives it up.
+    /// Sends the request to the next box, or ends it if none is left.
     fn attempt(&mut self, now: Nanos, id: RequestId, truth: &dyn Truth, actions: &mut Vec<Action>) {
         let Some(mut open) = self.open.remove(&id) else { return };
         let most = self.settings.max_attempts.max(1) as usize;
@@ -224,8 +224,8 @@
         };
         let Some(server) = picked else {
             let class = self.settings.classes.get(open.request.class as usize);
-            let harmless = open.unseen || class.is_some_and(|c| c.retry_safety == RetrySafety::Safe);
-            actions.push(if harmless { Action::Refuse { id, retry_after: 0 } } else { Action::Fail { id } });
+            let retryable = open.never_ran || class.is_some_and(|c| c.retry_safety == RetrySafety::Safe);
+            actions.push(if retryable { Action::Refuse { id, retry_after: 0 } } else { Action::Fail { id } });
             return;
         };
         open.tried.push(server);
@@ -236,25 +236,25 @@
         actions.push(Action::Send { id, server, timeout });
     }
 
-    fn ended(&mut self, now: Nanos, o: &Outcome, truth: &dyn Truth, actions: &mut Vec<Action>) {
+    fn finish_attempt(&mut self, now: Nanos, o: &Outcome, truth: &dyn Truth, actions: &mut Vec<Action>) {
         if let Some(out) = self.out.get_mut(&o.server) {
             *out = out.saturating_sub(1);
         }
         let Some(open) = self.open.get_mut(&o.id) else { return };
         open.out -= 1;
-        open.unseen &= o.status.never_ran();
+        open.never_ran &= o.status.never_ran();
         if self.rule == Rule::Paper {
             let key = open.request.key.unwrap_or(o.id);
             let all: Vec<usize> = (0..self.boxes.len()).collect();
             let at = self.ranked(key, &all, SIGMA).iter().position(|i| self.boxes[*i].server == o.server);
-            if let (Some(at), Some(trial)) = (at, self.trials.get_mut(&key)) {
-                let window = &mut trial.windows[at];
+            if let (Some(at), Some(state)) = (at, self.candidate_states.get_mut(&key)) {
+                let window = &mut state.windows[at];
                 window.push_back(o.status == Status::Ok && o.hit != Some(false));
                 if window.len() > TAU {
                     window.pop_front();
                 }
-                if trial.pinned.is_none() && window.len() == TAU && window.iter().all(|hit| *hit) {
-                    trial.pinned = Some(at);
+                if state.pinned.is_none() && window.len() == TAU && window.iter().all(|hit| *hit) {
+                    state.pinned = Some(at);
                 }
             }
         }
@@ -276,14 +276,14 @@
 impl Policy for BaselinePolicy {
     fn handle(&mut self, now: Nanos, event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
         match event {
-            Event::ServerList { kind, entries } => self.list(kind, entries, actions),
+            Event::ServerList { kind, entries } => self.update_list(kind, entries, actions),
             Event::Arrival(request) => {
                 let (id, until) = (request.id, now + request.remaining);
-                let open = Open { request, until, tried: Vec::new(), out: 0, unseen: true };
+                let open = Open { request, until, tried: Vec::new(), out: 0, never_ran: true };
                 self.open.insert(id, open);
                 self.attempt(now, id, truth, actions);
             }
-            Event::Outcome(outcome) => self.ended(now, &outcome, truth, actions),
+            Event::Outcome(outcome) => self.finish_attempt(now, &outcome, truth, actions),
             Event::Abandoned(id) => {
                 self.open.remove(&id);
             }
--- a/crates/model/src/boxes.rs
+++ b/crates/model/src/boxes.rs
@@ -144,9 +144,9 @@
     }
 
     /// Duration of a piece of work that starts now.
-    pub fn work_duration(&self, job: &Job, now: Nanos, chance: &mut RandomSource) -> Nanos {
+    pub fn work_duration(&self, job: &Job, now: Nanos, random: &mut RandomSource) -> Nanos {
         let work = if job.handshake { self.handshake } else { self.work[usize::from(job.write.is_some())] };
-        let jitter = if self.spread > 0.0 { 1.0 + self.spread * (2.0 * chance.unit() - 1.0) } else { 1.0 };
+        let jitter = if self.spread > 0.0 { 1.0 + self.spread * (2.0 * random.unit() - 1.0) } else { 1.0 };
         (work as f64 * jitter * self.slowdown(now) / (self.speed * self.warm_up_fraction(now))) as Nanos
     }
 
@@ -208,10 +208,10 @@
     }
 
     /// Draws whether an outgoing answer is lost to a reset or malformed.
-    pub fn output_fault(&self, chance: &mut RandomSource) -> Option<Status> {
-        if chance.happens(self.resets) {
+    pub fn output_fault(&self, random: &mut RandomSource) -> Option<Status> {
+        if random.happens(self.resets) {
             Some(Status::Reset)
-        } else if chance.happens(self.spoils) {
+        } else if random.happens(self.spoils) {
             Some(Status::Malformed)
         } else {
             None
@@ -219,12 +219,12 @@
     }
 
     /// Draws the unsolicited bytes that follow a successful answer, and their delay.
-    pub fn unsolicited_bytes(&self, answer: Answer, chance: &mut RandomSource) -> Option<(Answer, Nanos)> {
+    pub fn unsolicited_bytes(&self, answer: Answer, random: &mut RandomSource) -> Option<(Answer, Nanos)> {
         let Surplus { part, copy, late } = self.surplus;
-        if answer.status != Status::Ok || !chance.happens(part) {
+        if answer.status != Status::Ok || !random.happens(part) {
             return None;
         }
-        let after = (late as f64 * chance.unit()) as Nanos;
+        let after = (late as f64 * random.unit()) as Nanos;
         Some((if copy { answer } else { Answer { made_for: None, ..answer } }, after))
     }
 
--- a/crates/model/src/copies.rs
+++ b/crates/model/src/copies.rs
@@ -1,5 +1,6 @@
-//! Copies of reads to candidates that stand beside the boxes, cold: the choices of `shadow` at each proxy, and what the
-//! candidates fetch from the same origin. Candidates have cores to spare; what is asked here is what they cost.
+//! Shadow traffic: copies of reads to candidates beside the boxes, which start with empty caches. Each proxy runs the
+//! state machine of `shadow`; candidates fetch misses from the same origin. Candidates have unlimited cores, since the
+//! model measures only the load that they put on the origin.
 
 use crate::scenario;
 use crate::sim::{End, Ev, Sim};
@@ -10,26 +11,26 @@
 use shadow::verdict::Tolerance;
 use shadow::{CopyResult, LiveLoad, PersistedState, Read, ReadOutcome, Settings, Shadow};
 
-/// The ticket of a candidate's fetch has this in place of a box.
+/// Box number in the ticket of a candidate's fetch.
 pub(crate) const CANDIDATE: u32 = u32::MAX;
-/// How often a proxy looks at its live side.
-const LOOK: Nanos = 100 * MS;
+/// Interval at which a proxy reports its live load to the shadow state machine.
+const LOAD_REPORT_INTERVAL: Nanos = 100 * MS;
 
 /// A step in processing a copy, which is named by its index in the table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
-    /// It has come to its candidate, which has worked on it.
-    Worked(u32),
-    /// Its answer has come back: a hit, or not.
-    Back(u32, bool),
-    /// Its time is up.
-    Up(u32),
-    /// Proxies look at their live sides.
-    Look,
+    /// The candidate has received and processed it.
+    Processed(u32),
+    /// Its answer has arrived at the proxy; whether it was a hit.
+    Answered(u32, bool),
+    /// Its deadline has passed.
+    Deadline(u32),
+    /// Proxies report their live load.
+    ReportLoad,
 }
 
 #[derive(Debug)]
-struct Out {
+struct SentCopy {
     proxy: usize,
     incarnation: u32,
     number: u64,
@@ -37,7 +38,7 @@
     key: u64,
     sent: Nanos,
     until: Nanos,
-    over: bool,
+    finished: bool,
 }
 
 #[derive(Debug, Default)]
@@ -46,35 +47,35 @@
     fetching: FxHashMap<u64, Vec<u32>>,
 }
 
-/// All of it.
+/// The shadow traffic of a run.
 #[derive(Debug)]
 pub(crate) struct Copies {
-    told: scenario::Shadow,
+    spec: scenario::Shadow,
     proxies: Vec<Option<Shadow>>,
-    /// Served and refused at each since its last look.
+    /// Requests served and refused at each proxy since its last load report.
     answers: Vec<[u32; 2]>,
     candidates: Vec<Candidate>,
-    out: Vec<Out>,
-    /// When fetches for candidates came to the origin.
+    sent: Vec<SentCopy>,
+    /// Times at which candidates sent fetches to the origin.
     fetched: Vec<Nanos>,
 }
 
 impl Copies {
-    /// Nothing, if the scenario has no candidates.
-    pub fn new(told: &scenario::Shadow, proxies: usize) -> Option<Self> {
-        (told.candidates > 0).then(|| Copies {
-            told: told.clone(),
+    /// `None` if the scenario has no candidates.
+    pub fn new(spec: &scenario::Shadow, proxies: usize) -> Option<Self> {
+        (spec.candidates > 0).then(|| Copies {
+            spec: spec.clone(),
             proxies: (0..proxies).map(|_| None).collect(),
             answers: vec![[0; 2]; proxies],
-            candidates: (0..told.candidates).map(|_| Candidate::default()).collect(),
-            out: Vec::new(),
+            candidates: (0..spec.candidates).map(|_| Candidate::default()).collect(),
+            sent: Vec::new(),
             fetched: Vec::new(),
         })
     }
 
-    /// A proxy has started, with this number of proxies in its settings.
+    /// Starts shadow traffic at a proxy whose settings name this number of proxies.
     pub fn start(&mut self, proxy: usize, proxies: u32, now: Nanos) {
-        let t = &self.told;
+        let t = &self.spec;
         let parts = |share: f64| (share * f64::from(PARTS_PER_MILLION)) as u32;
         let settings = Settings {
             classes: vec![true, false],
@@ -97,28 +98,28 @@
             max_samples: 0,
         };
         let mut one = Shadow::new(settings, PersistedState::default(), now);
-        // A first order is never refused.
+        // The first start order is always accepted.
         let _ = one.start(1, seconds(86_400.0), now);
         one.set_candidates((0..self.candidates.len() as u64).collect(), now);
         self.proxies[proxy] = Some(one);
     }
 
-    /// A try was answered.
+    /// Counts an answer to a client for the next load report.
     pub fn answered(&mut self, proxy: usize, end: End) {
         if let (Some(counts), End::Served | End::Refused(_)) = (self.answers.get_mut(proxy), end) {
             counts[usize::from(end != End::Served)] += 1;
         }
     }
 
-    /// Copies sent, fetches for them, and the most of these in any second.
+    /// Number of copies sent, of fetches for them, and the maximum of these fetches in any second.
     pub fn counts(&self) -> (u64, u64, u64) {
         let most = max_in_any_second(self.fetched.clone());
-        (self.out.len() as u64, self.fetched.len() as u64, most as u64)
+        (self.sent.len() as u64, self.fetched.len() as u64, most as u64)
     }
 }
 
 impl Sim<'_> {
-    /// A box has answered a read, and its client has the answer.
+    /// Offers a read that was answered to its client for copying.
     pub(crate) fn copy(&mut self, proxy: usize, key: u64, hit: bool, took: Option<Nanos>) {
         let live = ReadOutcome::Value(u64::from(self.origin.version(key)));
         let read = Read {
@@ -135,56 +136,65 @@
         let Some(copy) = copies.proxies[proxy].as_mut().and_then(|s| s.offer_read(&read, now)) else {
             return;
         };
-        let at = copies.out.len() as u32;
+        let at = copies.sent.len() as u32;
         let (number, candidate, until) = (copy.number, copy.candidate as usize, copy.deadline);
-        copies.out.push(Out { proxy, incarnation, number, candidate, key, sent: now, until, over: false });
+        copies.sent.push(SentCopy {
+            proxy,
+            incarnation,
+            number,
+            candidate,
+            key,
+            sent: now,
+            until,
+            finished: false,
+        });
         let takes = millis(self.scenario.topology.zone_delay_ms + self.scenario.kinds[0].read_ms);
-        self.schedule(now + takes, Ev::Copy(Step::Worked(at)));
-        self.schedule(until, Ev::Copy(Step::Up(at)));
+        self.schedule(now + takes, Ev::Copy(Step::Processed(at)));
+        self.schedule(until, Ev::Copy(Step::Deadline(at)));
     }
 
     pub(crate) fn copy_step(&mut self, step: Step) {
         match step {
-            Step::Worked(at) => self.copy_worked(at),
-            Step::Back(at, hit) => {
-                let Some(one) = self.copies.as_ref().and_then(|c| c.out.get(at as usize)) else { return };
+            Step::Processed(at) => self.copy_processed(at),
+            Step::Answered(at, hit) => {
+                let Some(one) = self.copies.as_ref().and_then(|c| c.sent.get(at as usize)) else { return };
                 let side = ReadOutcome::Value(u64::from(self.origin.version(one.key)));
                 let took = self.now - one.sent;
-                self.copy_ended(at, CopyResult { outcome: side, hit: Some(hit), latency: took });
+                self.finish_copy(at, CopyResult { outcome: side, hit: Some(hit), latency: took });
             }
-            Step::Up(at) => {
-                self.copy_ended(at, CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: 0 })
+            Step::Deadline(at) => {
+                self.finish_copy(at, CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: 0 })
             }
-            Step::Look => {
+            Step::ReportLoad => {
                 let now = self.now;
                 let room = self.scenario.topology.max_open;
                 let Some(copies) = &mut self.copies else { return };
                 for (proxy, one) in copies.proxies.iter_mut().enumerate() {
                     let [served, refused] = std::mem::take(&mut copies.answers[proxy]);
                     let open = self.hosts[proxy].open.len();
-                    let vitals = LiveLoad { served, refused, loop_delay: 0, open, max_open: room };
+                    let load = LiveLoad { served, refused, loop_delay: 0, open, max_open: room };
                     if let Some(one) = one.as_mut().filter(|_| self.hosts[proxy].alive) {
-                        one.update_load(&vitals, now);
+                        one.update_load(&load, now);
                     }
                 }
-                self.schedule(now + LOOK, Ev::Copy(Step::Look));
+                self.schedule(now + LOAD_REPORT_INTERVAL, Ev::Copy(Step::ReportLoad));
             }
         }
     }
 
-    /// The candidate has worked on a copy: it has the record, waits for another's fetch, or fetches.
-    fn copy_worked(&mut self, at: u32) {
+    /// A candidate has processed a copy: it answers from cache, joins a fetch in progress, or starts one.
+    fn copy_processed(&mut self, at: u32) {
         let now = self.now;
         let Some(copies) = &mut self.copies else { return };
-        let one = &copies.out[at as usize];
+        let one = &copies.sent[at as usize];
         let (key, version) = (one.key, self.origin.version(one.key));
-        // What nobody waits for any more is not begun.
+        // Copies past their deadline are not processed.
         if one.until <= now {
             return;
         }
         let candidate = &mut copies.candidates[one.candidate];
         if candidate.cache.get(&key) == Some(&version) {
-            self.copy_back(at, true);
+            self.answer_copy(at, true);
         } else if let Some(others) = candidate.fetching.get_mut(&key) {
             others.push(at);
         } else {
@@ -200,31 +210,31 @@
         }
     }
 
-    /// The origin has answered a candidate.
+    /// The origin has answered or rejected a candidate's fetch.
     pub(crate) fn copy_fetched(&mut self, at: u32, done: bool) {
         let Some(copies) = &mut self.copies else { return };
-        let one = &copies.out[at as usize];
+        let one = &copies.sent[at as usize];
         let candidate = &mut copies.candidates[one.candidate];
         if done {
             candidate.cache.insert(one.key, self.origin.version(one.key));
         }
         let others = candidate.fetching.remove(&one.key).unwrap_or_default();
         if done {
-            std::iter::once(at).chain(others).for_each(|at| self.copy_back(at, false));
+            std::iter::once(at).chain(others).for_each(|at| self.answer_copy(at, false));
         }
     }
 
-    fn copy_back(&mut self, at: u32, hit: bool) {
+    fn answer_copy(&mut self, at: u32, hit: bool) {
         let delay = millis(self.scenario.topology.zone_delay_ms);
-        self.schedule(self.now + delay, Ev::Copy(Step::Back(at, hit)));
+        self.schedule(self.now + delay, Ev::Copy(Step::Answered(at, hit)));
     }
 
-    fn copy_ended(&mut self, at: u32, ended: CopyResult) {
+    fn finish_copy(&mut self, at: u32, ended: CopyResult) {
         let now = self.now;
         let Some(copies) = &mut self.copies else { return };
-        let one = &mut copies.out[at as usize];
+        let one = &mut copies.sent[at as usize];
         let host = &self.hosts[one.proxy];
-        if std::mem::replace(&mut one.over, true) || host.incarnation != one.incarnation || !host.alive {
+        if std::mem::replace(&mut one.finished, true) || host.incarnation != one.incarnation || !host.alive {
             return;
         }
         if let Some(shadow) = &mut copies.proxies[one.proxy] {
--- a/crates/model/src/host.rs
+++ b/crates/model/src/host.rs
@@ -450,8 +450,8 @@
                 self.finish_attempt(proxy, id, attempt, status, None);
                 continue;
             }
-            if let Some(told) = host.drain_notified_at.get(&to).copied() {
-                let past = self.now.saturating_sub(told + DRAIN_GRACE);
+            if let Some(notified_at) = host.drain_notified_at.get(&to).copied() {
+                let past = self.now.saturating_sub(notified_at + DRAIN_GRACE);
                 if past > 0 {
                     self.breaches.add(Rule::Drain, self.now, Some(request), || {
                         format!("proxy {proxy} to box {to}, {} ms past the grace", past / MS)
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -1,29 +1,29 @@
-//! The rules, judged from what both ends recorded.
+//! Invariants of a run, checked against what clients, proxies, boxes and origin recorded.
 
 use serde::{Deserialize, Serialize};
 
-/// A rule that must hold.
+/// An invariant that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each accepted request has one final answer in time, ...
+    /// Each accepted request gets one final answer in time.
     Lost,
-    /// ... and nothing is sent for it afterwards.
+    /// Nothing is sent for a request after its answer.
     SentAfterAnswer,
-    /// An answer was made for its request.
+    /// Each answer belongs to the request that receives it.
     Strange,
-    /// No effect happens twice.
+    /// No write takes effect twice.
     Doubled,
-    /// Nothing new goes to a box later than its grace after this proxy learned of its drain.
+    /// A proxy sends nothing new to a box once the grace period after its notification of the drain has passed.
     Drain,
-    /// No cold box is pushed over, ...
+    /// No box collapses under overload during slow start.
     ColdBox,
-    /// ... nor the ledger behind it.
+    /// The origin does not collapse under overload.
     Ledger,
 }
 
 impl Rule {
-    /// The rule in words.
+    /// The description of the rule in reports.
     pub fn words(self) -> &'static str {
         match self {
             Rule::Lost => "each accepted request has one final answer in time",
@@ -37,24 +37,24 @@
     }
 }
 
-/// A rule that was broken.
+/// The breaches of one rule in a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
-    /// Which.
+    /// The broken rule.
     pub rule: Rule,
-    /// When, in milliseconds since the start.
+    /// Time of the first breach, in milliseconds since the start.
     pub at_ms: f64,
-    /// The request that did it, by its number in the run.
+    /// Number of the request that first broke the rule, if it concerns a request.
     pub request: Option<u32>,
-    /// What happened.
+    /// Description of the first breach.
     pub what: String,
-    /// How often this rule broke in the run.
+    /// Number of breaches of this rule in the run.
     pub times: u64,
-    /// What became of the request, line by line; told of the run's first breach.
+    /// History of the request, line by line; recorded for the run's first breach only.
     pub history: Vec<String>,
 }
 
-/// All breaches of a run, the first of each rule.
+/// The breaches of a run, one entry for each broken rule.
 #[derive(Debug, Default)]
 pub(crate) struct Breaches(pub Vec<Breach>);
 
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! A discrete-event model of the whole installation in virtual time: clients behind a front layer, proxies that host
-//! the shipped decision module (or another policy by the same interface), cache boxes, the origin ledger, discovery,
-//! zones. No sockets, no clock, no threads: one seed gives one run, and what is judged is what was recorded at both
-//! ends. What it leaves out is said in `docs/design/lab.md`.
+//! the shipped decision module (or another policy by the same interface), cache boxes, the origin, discovery,
+//! zones. It uses no sockets, clock or threads, so one seed always gives the same run, and invariants are checked
+//! against what both ends recorded. `docs/design/lab.md` lists what it leaves out.
 
 mod arrivals;
 mod baseline_policies;
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: an installation, its traffic, what goes wrong, and what must hold. The format is `docs/scenarios.md`.
+//! Scenarios: an installation, its traffic, the faults to inject and the expected results. The format is `docs/scenarios.md`.
 
 use crate::random::RandomSource;
 use crate::{millis, seconds, Nanos};
@@ -7,21 +7,21 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The format's version.
+/// Version of the scenario format.
 pub const VERSION: u32 = 1;
-/// Bounds, as the page of the format states them.
-const MOST_BOXES: usize = 20_000;
-const MOST_PROXIES: usize = 5_000;
-const MOST_FAULTS: usize = 10_000;
-const LONGEST_S: f64 = 86_400.0;
-const MOST_RATE: f64 = 10_000_000.0;
-
-/// Something wrong in a scenario: where, and what.
+/// Bounds of values, as stated in the documentation of the format.
+const MAX_BOXES: usize = 20_000;
+const MAX_PROXIES: usize = 5_000;
+const MAX_FAULTS: usize = 10_000;
+const MAX_DURATION_S: f64 = 86_400.0;
+const MAX_RATE: f64 = 10_000_000.0;
+
+/// An error in a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The key, with its tables.
+    /// Dotted path of the key.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with its value.
     pub reason: String,
 }
 
@@ -39,29 +39,29 @@
     pub version: u32,
     /// Its name.
     pub name: String,
-    /// What it guards, in a line.
+    /// One line on what the scenario protects against.
     pub guards: String,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub duration_s: f64,
-    /// What is asked before this does not count.
+    /// Warm-up: requests started before this do not count.
     pub warm_s: f64,
-    /// What there is.
+    /// Proxies, boxes, zones and connections.
     pub topology: Topology,
     /// Machine types of boxes.
     pub kinds: Vec<Kind>,
-    /// The ledger behind the boxes.
+    /// The origin behind the boxes.
     pub origin: Origin,
-    /// Who tells the list.
+    /// The discovery service.
     pub discovery: Discovery,
-    /// What is asked.
+    /// The request load.
     pub traffic: Traffic,
-    /// Copies of reads to candidates.
+    /// Shadow traffic: copies of reads to candidates.
     pub shadow: Shadow,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: Vec<FaultSpec>,
-    /// So many faults more, drawn from the seed.
+    /// Number of additional faults drawn from the seed.
     pub random_faults: usize,
-    /// What must hold beyond the four rules.
+    /// Expected results in addition to the invariants of every run.
     pub holds: Holds,
 }
 
@@ -86,47 +86,48 @@
     }
 }
 
-/// What there is.
+/// Proxies, boxes, zones and connections.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Topology {
     /// Zones.
     pub zones: usize,
-    /// Proxies, over the zones in turn.
+    /// Proxies, assigned to zones round-robin.
     pub proxies: usize,
-    /// Boxes, over the zones in turn.
+    /// Boxes, assigned to zones round-robin.
     pub boxes: usize,
-    /// One way between two zones.
+    /// One-way delay between two zones.
     pub zone_delay_ms: f64,
-    /// One way within a zone.
+    /// One-way delay within a zone.
     pub local_delay_ms: f64,
-    /// Between clients and proxies, one way.
+    /// One-way delay between clients and proxies.
     pub client_delay_ms: f64,
-    /// Requests open at once at a proxy.
+    /// Maximum concurrent requests of a proxy.
     pub max_open: usize,
-    /// Connections of a proxy to boxes in all.
+    /// Maximum connections of a proxy to all boxes.
     pub connections: usize,
-    /// Connections between boxes and all proxies that a proxy plans for, and at the most of one proxy to a box.
+    /// Connections to one box that all proxies together may use; each proxy takes an equal share.
     pub box_connections: usize,
-    /// The same for one proxy.
+    /// Maximum connections of one proxy to one box.
     pub most_connections: usize,
-    /// Requests on a connection at once, as far as boxes take them, ...
+    /// Requests in flight on a connection that boxes support.
     pub streams: usize,
-    /// ... and as far as a proxy sends them.
+    /// Requests in flight on a connection that a proxy uses.
     pub depth: usize,
-    /// How long a connection rests after an answer at first, where one at a time goes out.
+    /// Initial settle delay of a connection after an answer, at a depth of 1.
     pub rest_ms: f64,
     /// How a proxy chooses among its connections to a box.
     pub placing: PlacementPolicy,
-    /// A connection whose head is older than this part of its heads were takes nothing new; 1: whatever its age.
+    /// A connection whose oldest request in flight is older than this quantile of earlier ones gets no new requests; 1
+    /// disables the check.
     pub head_quantile: f64,
-    /// Connections that carry nothing are closed after this.
+    /// Idle connections are closed after this.
     pub idle_s: f64,
-    /// A connection that takes longer has failed.
+    /// Time after which connecting has failed.
     pub connect_timeout_ms: f64,
-    /// Attempts of a request at the most.
+    /// Maximum attempts for a request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out.
+    /// Hedging: two attempts of a request may be in progress at once.
     pub second_copies: bool,
 }
 
@@ -157,7 +158,7 @@
 }
 
 impl Topology {
-    /// What a proxy may do with its connections to a box.
+    /// The pipeline configuration of a proxy.
     pub fn pipes(&self) -> PipelineConfig {
         let (placing, head_quantile) = (self.placing, self.head_quantile);
         let depth = self.depth.min(self.streams);
@@ -178,33 +179,33 @@
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// How many boxes are of it, against the other kinds.
+    /// Relative number of boxes of this kind.
     pub share: f64,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub cores: usize,
-    /// Work is divided by it.
+    /// Relative speed; work times are divided by it.
     pub speed: f64,
-    /// The work of a read.
+    /// Work time of a read.
     pub read_ms: f64,
-    /// The work of a write.
+    /// Work time of a write.
     pub write_ms: f64,
-    /// Work differs by up to this part either way.
+    /// Work times vary by up to this fraction in either direction.
     pub spread: f64,
-    /// Requests that wait before more are turned away.
+    /// Queue length above which requests are rejected.
     pub queue: usize,
-    /// Connections before more are turned away.
+    /// Connections above which new ones are rejected.
     pub connections: usize,
-    /// The work of a new connection.
+    /// Work time of a connection handshake.
     pub handshake_ms: f64,
-    /// A box that has started works with this part of its speed; 1: never cold.
+    /// Slow start: fraction of its speed after a start; 1 disables slow start.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// Duration of slow start.
     pub cold_s: f64,
-    /// A cold box falls when sent more than this multiple of what it can do ...
+    /// A box in slow start collapses when it receives more than this multiple of its capacity ...
     pub fall_multiple: f64,
-    /// ... for so long.
+    /// ... over this period.
     pub fall_s: f64,
-    /// Keys that it caches.
+    /// Capacity of its cache in keys.
     pub cache: usize,
 }
 
@@ -230,19 +231,19 @@
     }
 }
 
-/// The ledger behind the boxes.
+/// The origin behind the boxes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Origin {
-    /// Fetches that it works on at once.
+    /// Fetches that it processes concurrently.
     pub places: usize,
-    /// The work of one.
+    /// Work time of a fetch.
     pub work_ms: f64,
-    /// Fetches that wait before more are turned away.
+    /// Queue length above which fetches are rejected.
     pub queue: usize,
-    /// It stops when sent this multiple of what it can do; 0: never.
+    /// It collapses when it receives more than this multiple of its capacity; 0: never.
     pub fall_multiple: f64,
-    /// For so long.
+    /// Period over which the load is counted, and duration of a collapse.
     pub fall_s: f64,
 }
 
@@ -252,15 +253,15 @@
     }
 }
 
-/// Who tells the list.
+/// The discovery service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Discovery {
-    /// A change is told so much later.
+    /// Lag of updates.
     pub lag_ms: f64,
-    /// Every second proxy hears so much later still: two versions are in use.
+    /// Additional lag for every second proxy, so that two versions of the list are in use.
     pub second_lag_ms: f64,
-    /// Whole lists that it gives in a second, over all proxies; 0: any number.
+    /// Full lists that it serves in a second to all proxies together; 0: unlimited.
     pub calls_a_second: u32,
 }
 
@@ -274,13 +275,13 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Ask {
-    /// In time is up to here, from the request's first try.
+    /// Latency target, from the request's first try.
     pub aim_ms: f64,
-    /// A client waits so long for a try.
+    /// Client timeout of one try.
     pub wait_ms: f64,
-    /// A request is given up here, over all tries.
+    /// Deadline of the request over all tries.
     pub deadline_ms: f64,
-    /// What it is worth.
+    /// Worth of a request served in time.
     pub worth: f64,
 }
 
@@ -290,38 +291,37 @@
     }
 }
 
-/// What is asked.
+/// The request load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Traffic {
-    /// Requests a second, without repeats by clients, by chance (Poisson).
+    /// Mean requests per second without client retries (Poisson process).
     pub rate: f64,
-    /// The part that writes.
+    /// Fraction of writes.
     pub writes: f64,
-    /// Keys.
+    /// Number of keys.
     pub keys: u64,
-    /// Their popularity: Zipf's exponent; 0: all alike.
+    /// Zipf exponent of their popularity; 0: uniform.
     pub zipf: f64,
-    /// Tries of a client.
+    /// Maximum tries of a client for a request.
     pub tries: u32,
-    /// A client waits before its next try so long at the least, and up to twice of it.
+    /// Minimum backoff of a client before its next try; the maximum is twice as long.
     pub backoff_ms: f64,
-    /// Proxies get unlike parts of what is asked: each one's weight is drawn between 1 and this, small ones being the more
-    /// frequent; 1: all alike.
+    /// Load imbalance between proxies: each proxy's weight is drawn log-uniformly between 1 and this; 1: equal weights.
     pub uneven: f64,
-    /// The front layer learns of a dead proxy, or of one that is back, so late.
+    /// Lag with which the front layer notices that a proxy has died or returned.
     pub front_lag_ms: f64,
     /// Reads.
     pub read: Ask,
     /// Writes.
     pub write: Ask,
-    /// The rate from then on, by times of `rate`; in between it goes over evenly if `ramp` is set.
+    /// Changes of the rate over time, as multiples of `rate`.
     pub curve: Vec<Point>,
-    /// The rate goes evenly from point to point.
+    /// Interpolate the rate linearly between the points of `curve`.
     pub ramp: bool,
-    /// The part of the requests that is for one hot key; 0: there is none.
+    /// Fraction of the requests for one hot key; 0: no hot key.
     pub hot: f64,
-    /// The hot key is another one each so many seconds; 0: never.
+    /// Interval at which the hot key changes; 0: never.
     pub hot_moves_s: f64,
 }
 
@@ -346,26 +346,26 @@
     }
 }
 
-/// Copies of reads to candidates that stand beside the boxes, with nothing cached. The keys are those of the operator's
-/// file, `[shadow]`; a misses budget past what reads there are is none.
+/// Shadow traffic: copies of reads to candidates beside the boxes, which start with empty caches. The keys are those of
+/// `[shadow]` in the operator's file; a budget of misses above the rate of reads is no limit.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Shadow {
-    /// Candidates; 0: nothing is copied.
+    /// Number of candidates; 0 disables shadow traffic.
     pub candidates: usize,
-    /// Of the keys, at the most, ...
+    /// Maximum fraction of the keys that are copied.
     pub share: f64,
-    /// ... and at first.
+    /// Initial fraction of the keys that are copied.
     pub first_share: f64,
-    /// The share doubles no sooner than this.
+    /// Minimum time between doublings of the fraction.
     pub step_s: f64,
-    /// Of one proxy.
+    /// Maximum copies per second of one proxy.
     pub copies_per_second: usize,
-    /// Of one proxy, each with one copy.
+    /// Connections of one proxy to candidates; each carries one copy.
     pub connections: usize,
-    /// Over all proxies.
+    /// Maximum misses per second of all proxies together.
     pub misses_per_second: u32,
-    /// A copy is given up after that.
+    /// Timeout of a copy.
     pub deadline_ms: f64,
 }
 
@@ -384,28 +384,28 @@
     }
 }
 
-/// A point of the rate.
+/// A point of the rate curve.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Point {
-    /// From the start.
+    /// Time since the start.
     pub at_s: f64,
-    /// Times of the rate.
+    /// Multiple of the rate.
     pub times: f64,
 }
 
-/// Which of the boxes, or of the proxies.
+/// Selects boxes or proxies.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(untagged)]
 pub enum Which {
-    /// These, by number.
+    /// By number.
     These(Vec<usize>),
-    /// A part of them, drawn from the seed.
+    /// A fraction of them, drawn from the seed.
     Part(f64),
 }
 
 impl Which {
-    /// The numbers, of so many, for the fault of this number in its scenario.
+    /// The selected numbers below `of`, for the fault with this number in the scenario.
     pub fn of(&self, seed: u64, number: u64, of: usize) -> Vec<usize> {
         match self {
             Which::These(these) => these.clone(),
@@ -420,100 +420,101 @@
     }
 }
 
-/// Something that goes wrong, and when.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct FaultSpec {
-    /// From the start.
+    /// Time since the start.
     pub at_s: f64,
-    /// So long; nothing: until the end.
+    /// Duration; `None`: until the end of the run.
     #[serde(default)]
     pub lasts_s: Option<f64>,
-    /// What.
+    /// The fault.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Fault {
-    /// Boxes take requests and answer none.
+    /// Boxes accept requests and answer none.
     Silent {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
     },
-    /// Their processes are gone; at the end they start again, with nothing cached and cold where they can be.
+    /// Boxes stop; at the end they restart with empty caches, in slow start if their kind has one.
     Down {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
     },
-    /// A part of their answers is reset.
+    /// A fraction of the boxes' answers is lost to connection resets.
     Resets {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
-        /// The part.
+        /// Fraction of the answers.
         part: f64,
     },
-    /// A part of their answers can't be read.
+    /// A fraction of the boxes' answers is malformed.
     Spoils {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
-        /// The part.
+        /// Fraction of the answers.
         part: f64,
     },
-    /// A part of their good answers bring more than belongs to them, if nothing else waits there on the connection.
+    /// A fraction of the boxes' successful answers is followed by unsolicited bytes, unless another request is pending
+    /// there on the connection.
     Surplus {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
-        /// The part.
+        /// Fraction of the answers.
         part: f64,
-        /// A copy; else noise that reads as an answer.
+        /// Whether the bytes repeat the answer; otherwise they are noise that parses as an answer.
         #[serde(default = "yes")]
         copy: bool,
-        /// In a segment of its own, up to so much later; 0: in one segment with the answer.
+        /// Maximum delay, in a segment of their own; 0: in the same segment as the answer.
         #[serde(default)]
         late_ms: f64,
     },
-    /// Their work takes ever longer, up to so many times at the end.
+    /// The boxes' work time grows steadily up to a multiple.
     Slows {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
-        /// So many times.
+        /// Multiple reached at the end.
         times: f64,
     },
-    /// Discovery says that they drain; half a second after that they turn new requests away.
+    /// Discovery lists boxes as draining; half a second later they reject new requests.
     Drain {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
     },
-    /// One after the other they drain, go, and come back as new processes.
+    /// Rolling restart: boxes drain, stop and restart one after the other.
     Roll {
-        /// Which.
+        /// Affected boxes.
         boxes: Which,
     },
-    /// So many times as many boxes: the new ones join at once, cold where they can be.
+    /// New boxes join all at once, in slow start if their kind has one.
     Grow {
-        /// So many times.
+        /// Multiple of the number of boxes.
         times: f64,
     },
-    /// A zone's proxies and boxes are cut off from the others.
+    /// Network partition: a zone is isolated from the others.
     Cut {
-        /// Which zone.
+        /// The isolated zone.
         zone: usize,
     },
-    /// Proxies die; at the end they return with the last list that they knew.
+    /// Proxies die; at the end they restart with the last list that they received.
     Die {
-        /// Which.
+        /// Affected proxies.
         proxies: Which,
     },
-    /// Discovery tells changes so much later.
+    /// Discovery updates are delayed.
     Late {
-        /// By so long.
+        /// Additional lag.
         by_s: f64,
     },
-    /// Discovery answers nobody.
+    /// Discovery outage.
     NoDiscovery,
-    /// The origin stops.
+    /// The origin stops processing.
     OriginStops,
 }
 
@@ -521,23 +522,23 @@
     true
 }
 
-/// What must hold beyond the four rules; nothing: whatever comes.
+/// Expected results in addition to the invariants of every run; `None` is not checked.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Holds {
-    /// The least part of the requests served in time.
+    /// Minimum fraction of requests served in time.
     pub in_time: Option<f64>,
-    /// The slowest 1% of what is served takes no longer.
+    /// Maximum 99th percentile of latency.
     pub p99_ms: Option<f64>,
-    /// Attempts for a request, on average, no more.
+    /// Maximum mean number of attempts for a request.
     pub attempts: Option<f64>,
 }
 
 impl Scenario {
-    /// Reads a scenario and tells all that is wrong with it, not just the first thing.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// What is wrong, each with its key.
+    /// Returns all problems found, not only the first, each with its key.
     pub fn read(text: &str) -> Result<Scenario, Vec<Problem>> {
         let whole: toml::Table = text.parse().map_err(|e: toml::de::Error| {
             vec![Problem { key: "file".into(), reason: e.to_string().trim().replace('\n', " ") }]
@@ -545,14 +546,14 @@
         Scenario::from_table(whole)
     }
 
-    /// The same, from a table that was read already.
+    /// Validates a scenario from a parsed table.
     ///
     /// # Errors
     /// As for [`Scenario::read`].
     pub fn from_table(whole: toml::Table) -> Result<Scenario, Vec<Problem>> {
         let mut value = toml::Value::Table(whole);
         let mut problems = Vec::new();
-        // What can't be read is noted and left out, until the rest can be read: one look tells all faults.
+        // Values that cannot be parsed are recorded and removed until the rest parses, so that all errors are reported.
         let scenario: Scenario = loop {
             let mut unknown = Vec::new();
             let read: Result<Scenario, _> = {
@@ -593,7 +594,7 @@
         }
     }
 
-    /// Looks at all values.
+    /// Checks the bounds of all values.
     fn check(&self, problems: &mut Vec<Problem>) {
         let mut c = Check(problems);
         if self.version != VERSION {
@@ -606,12 +607,12 @@
         if self.guards.is_empty() {
             c.add("guards", "must say in a line what the scenario guards".into());
         }
-        c.float("duration_s", self.duration_s, 0.1, LONGEST_S);
+        c.float("duration_s", self.duration_s, 0.1, MAX_DURATION_S);
         c.float("warm_s", self.warm_s, 0.0, self.duration_s);
         let t = &self.topology;
         c.whole("topology.zones", t.zones, 1, 64);
-        c.whole("topology.proxies", t.proxies, 1, MOST_PROXIES);
-        c.whole("topology.boxes", t.boxes, 1, MOST_BOXES);
+        c.whole("topology.proxies", t.proxies, 1, MAX_PROXIES);
+        c.whole("topology.boxes", t.boxes, 1, MAX_BOXES);
         c.float("topology.zone_delay_ms", t.zone_delay_ms, 0.0, 1_000.0);
         c.float("topology.local_delay_ms", t.local_delay_ms, 0.0, 1_000.0);
         c.float("topology.client_delay_ms", t.client_delay_ms, 0.0, 1_000.0);
@@ -623,7 +624,7 @@
         c.whole("topology.depth", t.depth, 1, 1_024);
         c.float("topology.rest_ms", t.rest_ms, 0.0, 50.0);
         c.float("topology.head_quantile", t.head_quantile, 0.5, 1.0);
-        c.float("topology.idle_s", t.idle_s, 0.01, LONGEST_S);
+        c.float("topology.idle_s", t.idle_s, 0.01, MAX_DURATION_S);
         c.float("topology.connect_timeout_ms", t.connect_timeout_ms, 1.0, 60_000.0);
         c.whole("topology.max_attempts", t.max_attempts as usize, 1, 16);
         if self.kinds.is_empty() || self.kinds.len() > 64 {
@@ -647,7 +648,7 @@
             c.whole(&at("connections"), k.connections, 1, 1_000_000);
             c.float(&at("handshake_ms"), k.handshake_ms, 0.0, 1_000.0);
             c.float(&at("cold_from"), k.cold_from, 0.001, 1.0);
-            c.float(&at("cold_s"), k.cold_s, 0.001, LONGEST_S);
+            c.float(&at("cold_s"), k.cold_s, 0.001, MAX_DURATION_S);
             c.float(&at("fall_multiple"), k.fall_multiple, 1.0, 1e6);
             c.float(&at("fall_s"), k.fall_s, 0.01, 3_600.0);
             c.whole(&at("cache"), k.cache, 1, 10_000_000);
@@ -673,7 +674,7 @@
         c.float("discovery.lag_ms", self.discovery.lag_ms, 0.0, 3_600_000.0);
         c.float("discovery.second_lag_ms", self.discovery.second_lag_ms, 0.0, 3_600_000.0);
         let a = &self.traffic;
-        c.float("traffic.rate", a.rate, 0.001, MOST_RATE);
+        c.float("traffic.rate", a.rate, 0.001, MAX_RATE);
         c.float("traffic.writes", a.writes, 0.0, 1.0);
         if a.keys == 0 {
             c.add("traffic.keys", "must be 1 at the least".into());
@@ -698,9 +699,9 @@
             }
         }
         c.float("traffic.hot", a.hot, 0.0, 1.0);
-        c.float("traffic.hot_moves_s", a.hot_moves_s, 0.0, LONGEST_S);
-        if self.faults.len() + self.random_faults > MOST_FAULTS {
-            c.add("faults", format!("there are more than {MOST_FAULTS}"));
+        c.float("traffic.hot_moves_s", a.hot_moves_s, 0.0, MAX_DURATION_S);
+        if self.faults.len() + self.random_faults > MAX_FAULTS {
+            c.add("faults", format!("there are more than {MAX_FAULTS}"));
         }
         for (i, f) in self.faults.iter().enumerate() {
             self.check_fault(i, f, &mut c);
@@ -715,7 +716,7 @@
         let at = |key: &str| format!("faults.{i}.{key}");
         c.float(&at("at_s"), f.at_s, 0.0, self.duration_s);
         if let Some(lasts) = f.lasts_s {
-            c.float(&at("lasts_s"), lasts, 0.001, LONGEST_S);
+            c.float(&at("lasts_s"), lasts, 0.001, MAX_DURATION_S);
         }
         let mut which = |key: &str, which: &Which, of: usize| match which {
             Which::Part(part) => c.float(&at(key), *part, 0.0, 1.0),
@@ -744,7 +745,7 @@
                 c.float(&at("times"), *times, 1.0, 1e6);
             }
             Fault::Grow { times } => {
-                c.float(&at("times"), *times, 1.0, MOST_BOXES as f64 / self.topology.boxes.max(1) as f64);
+                c.float(&at("times"), *times, 1.0, MAX_BOXES as f64 / self.topology.boxes.max(1) as f64);
             }
             Fault::Cut { zone } => {
                 if *zone >= self.topology.zones {
@@ -760,30 +761,30 @@
         }
     }
 
-    /// All faults of a run: those written, and those drawn from the seed.
+    /// All faults of a run: those in the file and those drawn from the seed.
     pub fn faults(&self, seed: u64) -> Vec<FaultSpec> {
-        let mut chance = RandomSource::new(seed, 3);
+        let mut random = RandomSource::new(seed, 3);
         let mut all = self.faults.clone();
-        let part = |chance: &mut RandomSource| Which::Part(0.05 + 0.2 * chance.unit());
+        let part = |random: &mut RandomSource| Which::Part(0.05 + 0.2 * random.unit());
         for _ in 0..self.random_faults {
-            let at_s = self.warm_s + (self.duration_s - self.warm_s) * 0.6 * chance.unit();
-            let lasts_s = Some((self.duration_s - self.warm_s) * (0.1 + 0.2 * chance.unit()));
-            let fault = match chance.below(9) {
-                0 | 1 => Fault::Silent { boxes: part(&mut chance) },
-                2 => Fault::Down { boxes: part(&mut chance) },
-                3 => Fault::Resets { boxes: part(&mut chance), part: 0.1 + 0.4 * chance.unit() },
-                4 => Fault::Spoils { boxes: part(&mut chance), part: 0.1 + 0.4 * chance.unit() },
-                5 => Fault::Drain { boxes: part(&mut chance) },
-                6 => Fault::Cut { zone: chance.below(self.topology.zones) },
-                7 => Fault::Slows { boxes: part(&mut chance), times: 2.0 + 8.0 * chance.unit() },
-                _ => Fault::Late { by_s: 1.0 + 4.0 * chance.unit() },
+            let at_s = self.warm_s + (self.duration_s - self.warm_s) * 0.6 * random.unit();
+            let lasts_s = Some((self.duration_s - self.warm_s) * (0.1 + 0.2 * random.unit()));
+            let fault = match random.below(9) {
+                0 | 1 => Fault::Silent { boxes: part(&mut random) },
+                2 => Fault::Down { boxes: part(&mut random) },
+                3 => Fault::Resets { boxes: part(&mut random), part: 0.1 + 0.4 * random.unit() },
+                4 => Fault::Spoils { boxes: part(&mut random), part: 0.1 + 0.4 * random.unit() },
+                5 => Fault::Drain { boxes: part(&mut random) },
+                6 => Fault::Cut { zone: random.below(self.topology.zones) },
+                7 => Fault::Slows { boxes: part(&mut random), times: 2.0 + 8.0 * random.unit() },
+                _ => Fault::Late { by_s: 1.0 + 4.0 * random.unit() },
             };
             all.push(FaultSpec { at_s, lasts_s, fault });
         }
         all
     }
 
-    /// Times of the rate at a time.
+    /// The multiple of the rate at a time.
     pub fn times(&self, now: Nanos) -> f64 {
         let s = now as f64 / 1e9;
         let next = self.traffic.curve.iter().position(|p| p.at_s > s).unwrap_or(self.traffic.curve.len());
@@ -795,7 +796,7 @@
         }
     }
 
-    /// What a proxy of this installation is told at start.
+    /// The balancer settings of a proxy.
     pub fn settings(&self, proxy: usize) -> Settings {
         let (t, kind) = (&self.topology, &self.kinds[0]);
         let class = |ask: &Ask, effect: RetrySafety| Class {
@@ -833,7 +834,7 @@
         }
     }
 
-    /// The kind of each box that there ever is, by number: the shares are kept as nearly as whole boxes allow.
+    /// The kind of each box by number; any prefix follows the shares as closely as whole boxes allow.
     pub fn kind_of(&self, count: usize) -> Vec<usize> {
         let whole: f64 = self.kinds.iter().map(|k| k.share).sum();
         let mut given = vec![0.0; self.kinds.len()];
@@ -849,7 +850,7 @@
     }
 }
 
-/// Takes a value out by its path; false if there is none.
+/// Removes the value at a path; false if there is none.
 fn remove(value: &mut toml::Value, path: &[String]) -> bool {
     let Some((key, rest)) = path.split_first() else { return false };
     match value {
--- a/crates/model/src/sim.rs
+++ b/crates/model/src/sim.rs
@@ -227,9 +227,9 @@
 
 /// Weights between 1 and `uneven`, log-uniform.
 fn weights(scenario: &Scenario, seed: u64) -> Vec<f64> {
-    let (uneven, mut chance, mut sum) = (scenario.traffic.uneven, RandomSource::new(seed, 5), 0.0);
+    let (uneven, mut random, mut sum) = (scenario.traffic.uneven, RandomSource::new(seed, 5), 0.0);
     let mut next = |_| {
-        sum += uneven.powf(chance.unit());
+        sum += uneven.powf(random.unit());
         sum
     };
     if uneven > 1.0 {
@@ -295,8 +295,8 @@
         let count = grown.max().unwrap_or(t.boxes).max(t.boxes);
         for (i, kind) in scenario.kind_of(count).into_iter().enumerate() {
             let server = server_id(&format!("s-{i}"));
-            let told = &scenario.kinds[kind];
-            sim.boxes.push(CacheBox::new(server, i % t.zones, kind, told, 0, i < t.boxes));
+            let spec = &scenario.kinds[kind];
+            sim.boxes.push(CacheBox::new(server, i % t.zones, kind, spec, 0, i < t.boxes));
             sim.by_server.insert(server, i as u32);
             sim.joined.push(i < t.boxes);
             let entry = sim.entry(i as u32, ServerState::Ready);
@@ -315,7 +315,7 @@
         sim.next_request();
         sim.schedule(SECOND, Ev::Second);
         if sim.copies.is_some() {
-            sim.schedule(0, Ev::Copy(Step::Look));
+            sim.schedule(0, Ev::Copy(Step::ReportLoad));
         }
         sim
     }
--- a/crates/model/src/summary.rs
+++ b/crates/model/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a run comes to.
+//! The summary of a run.
 
 use crate::judge::Breach;
 use crate::scenario::Scenario;
@@ -8,111 +8,111 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// The version of what is written of a run.
+/// Version of the format of written summaries.
 pub const SCHEMA: u32 = 1;
 
-/// A second of a run, by when its requests were first asked.
+/// One second of a run; requests count in the second of their first try.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests asked.
+    /// Requests started.
     pub asked: u32,
-    /// Served within their aim.
+    /// Requests served within their latency target.
     pub in_time: u32,
-    /// Served at all.
+    /// Requests served at any latency.
     pub served: u32,
-    /// Attempts sent in it.
+    /// Attempts sent in this second.
     pub attempts: u32,
-    /// Connections to boxes opened in it, and held at its end.
+    /// Connections to boxes opened in this second.
     pub opened: u32,
-    /// Held at its end.
+    /// Connections to boxes open at its end.
     pub connections: u32,
-    /// Boxes that a proxy leaves alone at its end, on average.
+    /// Mean number of listed boxes to which a proxy sends no traffic at its end.
     pub out: f32,
 }
 
-/// A run in figures. Times are milliseconds.
+/// The metrics of a run. Times are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The format's version: [`SCHEMA`].
     pub schema: u32,
     /// The scenario.
     pub scenario: String,
-    /// Who decided.
+    /// The policy's name.
     pub policy: String,
-    /// The source of all chance.
+    /// The seed of all random draws.
     pub seed: u64,
     /// `model` or `sockets`.
     pub played_in: String,
-    /// Requests asked after the warm-up.
+    /// Requests started after the warm-up.
     pub asked: u64,
-    /// Of them, served within their aim; ...
+    /// Of these, requests served within their latency target.
     pub in_time: u64,
-    /// ... served later; ...
+    /// Of these, requests served later than their target.
     pub late: u64,
-    /// ... refused to the end; ...
+    /// Of these, requests whose last try was refused.
     pub refused: u64,
-    /// ... failed to the end; ...
+    /// Of these, requests whose last try failed.
     pub failed: u64,
-    /// ... and without an answer, since their proxy died or none could be reached.
+    /// Of these, requests without an answer: it came too late, their proxy died or none was reachable.
     pub unanswered: u64,
-    /// The part of the worth that was served in time.
+    /// Fraction of the total worth that was served in time.
     pub worth: f64,
-    /// Attempts of the whole run, and those whose work served nobody.
+    /// Attempts sent in the whole run.
     pub attempts: u64,
-    /// Answers of boxes that nobody waited for.
+    /// Successful answers of boxes for which no request was waiting.
     pub wasted: u64,
-    /// Fetches and writes at the origin, and those that it turned away.
+    /// Fetches and writes done by the origin.
     pub fetches: u64,
-    /// Turned away by the origin.
+    /// Fetches and writes rejected by the origin.
     pub origin_busy: u64,
-    /// Reads copied to candidates, ...
+    /// Reads copied to shadow candidates.
     #[serde(default)]
     pub copies: u64,
-    /// ... fetches for them, ...
+    /// Fetches from the origin for these copies.
     #[serde(default)]
     pub copy_fetches: u64,
-    /// ... and the most of these in any second.
+    /// Maximum number of these fetches within any second.
     #[serde(default)]
     pub copy_fetches_peak: u64,
-    /// The part of the time of all boxes' cores that was worked, by work begun; ...
+    /// Mean utilization of the boxes' cores, by work started.
     pub boxes_busy: f64,
-    /// ... of the busiest box's; ...
+    /// Utilization of the busiest box's cores.
     pub busiest_box: f64,
-    /// ... and of the origin's places.
+    /// Utilization of the origin's workers.
     pub origin_part: f64,
     /// Connections opened to boxes.
     pub opened: u64,
-    /// Percentiles of the time from the intended start to a served answer.
+    /// Median of the time from the intended start to a served answer.
     pub p50_ms: f64,
-    /// 99th.
+    /// 99th percentile of it.
     pub p99_ms: f64,
-    /// 99.9th.
+    /// 99.9th percentile of it.
     pub p999_ms: f64,
-    /// The longest.
+    /// Maximum of it.
     pub max_ms: f64,
-    /// The times, as HdrHistogram's compressed V2 form in base64, in microseconds.
+    /// Histogram of the times, as HdrHistogram's compressed V2 form in base64, in microseconds.
     pub times: String,
-    /// Second by second, the warm-up counted.
+    /// Metrics for each second, warm-up included.
     pub seconds: Vec<Second>,
-    /// Events played.
+    /// Simulated events.
     pub events: u64,
-    /// Rules that broke, the first breaches of each.
+    /// Broken rules with the first breach of each.
     pub breaches: Vec<Breach>,
 }
 
 impl Summary {
-    /// The part of the requests that was served in time.
+    /// Fraction of the requests that were served in time.
     pub fn share(&self) -> f64 {
         self.in_time as f64 / (self.asked.max(1)) as f64
     }
 
-    /// Attempts for a request.
+    /// Mean number of attempts for a request.
     pub fn attempts_each(&self) -> f64 {
         let asked: u64 = self.seconds.iter().map(|s| u64::from(s.asked)).sum();
         self.attempts as f64 / asked.max(1) as f64
     }
 
-    /// Connections opened for a request.
+    /// Mean number of connections opened for a request.
     pub fn opened_each(&self) -> f64 {
         let asked: u64 = self.seconds.iter().map(|s| u64::from(s.asked)).sum();
         self.opened as f64 / asked.max(1) as f64
@@ -124,26 +124,26 @@
 pub enum Ended {
     /// Served.
     Served,
-    /// Refused to the end.
+    /// The last try was refused.
     Refused,
-    /// Failed.
+    /// The last try failed.
     Failed,
     /// No answer.
     Nothing,
 }
 
-/// Requests counted up, wherever they were played.
+/// Accumulates the results of requests, from the model or from sockets.
 #[derive(Debug)]
 pub struct Gathered<'a> {
     scenario: &'a Scenario,
     times: Histogram<u64>,
-    /// What it comes to so far.
+    /// The summary so far.
     pub summary: Summary,
     worth: [f64; 2],
 }
 
 impl<'a> Gathered<'a> {
-    /// Nothing yet.
+    /// An empty summary.
     pub fn new(scenario: &'a Scenario, policy: &str, seed: u64, played_in: &str) -> Self {
         let summary = Summary {
             schema: SCHEMA,
@@ -160,7 +160,7 @@
         Gathered { scenario, times, summary, worth: [0.0; 2] }
     }
 
-    /// Counts a request that was first asked then, and took so long.
+    /// Counts a request by the time of its first try and its total duration.
     pub fn add(&mut self, first: Nanos, write: bool, ended: Ended, took: Nanos) {
         let ask = if write { &self.scenario.traffic.write } else { &self.scenario.traffic.read };
         let good = ended == Ended::Served && took <= millis(ask.aim_ms);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// All that it comes to.
+    /// Computes percentiles and returns the summary.
     pub fn finish(mut self) -> Summary {
         let at = |q: f64| self.times.value_at_quantile(q) as f64 / 1_000.0;
         let s = &mut self.summary;
--- a/crates/model/tests/long.rs
+++ b/crates/model/tests/long.rs
@@ -1,5 +1,5 @@
-//! Half an hour of replacements in virtual time: what the module holds does not grow. The only test of this program, as
-//! it counts what is allocated.
+//! The balancer's memory does not grow over half an hour of rolling restarts in virtual time. This is the only test in
+//! this program because it counts the allocations of the whole process.
 
 use calicosaddle::api::{Action, Event, Nanos};
 use model::{make, run_with, Options, Policy, Scenario, Truth};
@@ -13,20 +13,20 @@
 
 const MINUTE: Nanos = 60_000_000_000;
 
-/// The module, with an account of the bytes that it holds: what is allocated while it is at work, less what it was given.
-struct Weighed {
+/// Wraps the balancer and tracks the bytes it holds: allocations during its calls, corrected for the memory passed to it.
+struct MemoryTracked {
     inner: Box<dyn Policy>,
     held: isize,
     by_minute: Rc<RefCell<Vec<isize>>>,
 }
 
-impl Policy for Weighed {
+impl Policy for MemoryTracked {
     fn handle(&mut self, now: Nanos, event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
         let given = match &event {
             Event::ServerList { entries, .. } => size_of_val(&entries[..]) as isize,
             _ => 0,
         };
-        // Actions are its caller's: room is made before.
+        // The action buffer belongs to the caller, so its capacity is reserved before measuring.
         actions.reserve(1_024);
         let before = ALLOCATED.current_usage() as isize;
         self.inner.handle(now, event, truth, actions);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn in_half_an_hour_of_replacements_the_module_holds_no_more_than_after_ten_minutes() {
+fn memory_after_half_an_hour_of_rolling_restarts_is_at_most_a_tenth_above_the_first_ten_minutes() {
     let rolls: String = (0..58)
         .map(|i| format!("[[faults]]\nat_s = {}\nlasts_s = 25\nkind = 'roll'\nboxes = 1.0\n", 10 + 30 * i))
         .collect();
@@ -56,7 +56,7 @@
         let before = ALLOCATED.current_usage() as isize;
         let inner = make("shipped", settings, seed).expect("it ships");
         let held = ALLOCATED.current_usage() as isize - before;
-        Box::new(Weighed { inner, held, by_minute: minutes.clone() })
+        Box::new(MemoryTracked { inner, held, by_minute: minutes.clone() })
     });
     assert!(s.asked > 60_000 && s.share() > 0.9 && s.breaches.is_empty(), "{}: {:?}", s.share(), s.breaches);
     let minutes = by_minute.borrow();
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -1,5 +1,5 @@
-//! Runs of the model: the same seed is the same run, rules that are broken on purpose are found by name, and what
-//! goes wrong shows.
+//! Runs of the model: the same seed gives the same run, deliberate breaches of invariants are reported by rule, and
+//! faults have their expected effects.
 
 use calicosaddle::api::{Action, Event, ListKind, Nanos, RequestId, ServerId, ServerState, Status};
 use model::{make, run, run_with, Options, Policy, Rule, Scenario, Summary, Truth};
@@ -18,7 +18,7 @@
 const ROUGH: &str = "random_faults = 6\n[topology]\nboxes = 15\nproxies = 4\n[traffic]\nrate = 400";
 
 #[test]
-fn one_seed_is_one_run_on_any_number_of_threads_and_another_seed_is_another() {
+fn a_seed_gives_the_same_run_on_any_number_of_threads_and_other_seeds_give_other_runs() {
     let rough = scenario(ROUGH);
     let alone: Vec<Summary> = (0..8).map(|seed| play(&rough, "shipped", seed)).collect();
     let together: Vec<Summary> = std::thread::scope(|s| {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_request_ends_and_the_shipped_module_keeps_the_rules_whatever_goes_wrong() {
+fn every_request_ends_and_the_shipped_balancer_keeps_the_invariants_under_random_faults() {
     for seed in 100..125 {
         let s = play(&scenario(ROUGH), "shipped", seed);
         assert_eq!(s.asked, s.in_time + s.late + s.refused + s.failed + s.unanswered, "seed {seed}");
@@ -51,27 +51,27 @@
     }
 }
 
-/// A policy that does one thing wrong.
-struct Wrong {
+/// A policy that breaks one invariant on purpose.
+struct FaultyPolicy {
     inner: Box<dyn Policy>,
-    how: How,
+    defect: Defect,
     servers: Vec<(Nanos, ServerId)>,
     tries: HashMap<RequestId, usize>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum How {
-    /// Writes go out again, wherever and whenever the first one went.
+enum Defect {
+    /// Repeats writes at another box, after the deduplication window.
     RepeatsWrites,
-    /// A draining box is as good as any.
+    /// Treats draining boxes as ready.
     IgnoresDrains,
-    /// All goes to the box that started last.
+    /// Sends everything to the most recently started box.
     FloodsCold,
-    /// Goes on after the answer.
+    /// Sends another attempt after the answer.
     SendsAfterwards,
 }
 
-impl Policy for Wrong {
+impl Policy for FaultyPolicy {
     fn handle(&mut self, now: Nanos, mut event: Event, truth: &dyn Truth, actions: &mut Vec<Action>) {
         if let Event::ServerList { kind, entries } = &mut event {
             if *kind != ListKind::Delta {
@@ -80,39 +80,39 @@
             for e in entries.iter_mut() {
                 self.servers.retain(|(_, s)| *s != e.server);
                 self.servers.push((e.started_at, e.server));
-                if self.how == How::IgnoresDrains && e.state == ServerState::Draining {
+                if self.defect == Defect::IgnoresDrains && e.state == ServerState::Draining {
                     e.state = ServerState::Ready;
                 }
             }
             self.servers.sort_unstable();
         }
         let newest = self.servers.last().map(|(_, s)| *s);
-        match (&event, self.how) {
-            (Event::Arrival(r), How::RepeatsWrites) => {
-                // The time-out is shorter than the work, and the repeat comes when the first is forgotten.
+        match (&event, self.defect) {
+            (Event::Arrival(r), Defect::RepeatsWrites) => {
+                // The timeout is shorter than the work, and the repeat comes after the deduplication window.
                 let server = self.servers[r.id as usize % self.servers.len()].1;
                 actions.push(Action::Send { id: r.id, server, timeout: 300_000_000 });
                 actions.push(Action::Timer { token: r.id, delay: 1_700_000_000 });
                 return;
             }
-            (Event::Timer(id), How::RepeatsWrites) => {
+            (Event::Timer(id), Defect::RepeatsWrites) => {
                 let server = self.servers[(*id as usize + 1) % self.servers.len()].1;
                 actions.push(Action::Send { id: *id, server, timeout: 0 });
                 return;
             }
-            (Event::Outcome(_), How::RepeatsWrites) => return,
-            (Event::Arrival(r), How::FloodsCold) => {
+            (Event::Outcome(_), Defect::RepeatsWrites) => return,
+            (Event::Arrival(r), Defect::FloodsCold) => {
                 let Some(server) = newest else { return };
                 actions.push(Action::Send { id: r.id, server, timeout: 0 });
                 return;
             }
-            (Event::Outcome(o), How::FloodsCold) => {
+            (Event::Outcome(o), Defect::FloodsCold) => {
                 if o.status != Status::Ok {
                     actions.push(Action::Fail { id: o.id });
                 }
                 return;
             }
-            (Event::Outcome(o), How::SendsAfterwards) if o.status == Status::Ok => {
+            (Event::Outcome(o), Defect::SendsAfterwards) if o.status == Status::Ok => {
                 let tries = self.tries.entry(o.id).or_default();
                 *tries += 1;
                 if *tries == 1 {
@@ -125,35 +125,35 @@
     }
 }
 
-fn broken(scenario: &Scenario, how: How) -> Summary {
+fn broken(scenario: &Scenario, defect: Defect) -> Summary {
     let options = Options { guard: false, ..Options::default() };
     run_with(scenario, "wrong", 7, options, &|_, settings, seed| {
         let inner = make("random", settings, seed).expect("a policy");
-        Box::new(Wrong { inner, how, servers: Vec::new(), tries: HashMap::new() })
+        Box::new(FaultyPolicy { inner, defect, servers: Vec::new(), tries: HashMap::new() })
     })
 }
 
 #[test]
-fn a_rule_that_is_broken_on_purpose_is_found_by_its_name_with_the_request_and_its_history() {
+fn a_rule_broken_on_purpose_is_reported_by_name_with_the_request_and_its_history() {
     let slow = "[[kinds]]\nname = 'slow'\nwrite_ms = 400.0\ncores = 64\n[traffic]\nrate = 50\nwrites = 1.0\n\
         [traffic.write]\naim_ms = 4000\nwait_ms = 4000\ndeadline_ms = 4000";
     let drain = "[[faults]]\nat_s = 3\nkind = 'drain'\nboxes = 0.5";
-    // One at a time over so few connections, not even a flood pushes a box over.
+    // With one request at a time on each of few connections, a flood would not overload a box.
     let grow = "[topology]\ndepth = 8\n[[kinds]]\nname = 'cold'\ncold_from = 0.1\n\
         [[faults]]\nat_s = 3\nkind = 'grow'\ntimes = 1.2";
-    for (text, how, rule) in [
-        (slow, How::RepeatsWrites, Rule::Doubled),
-        (drain, How::IgnoresDrains, Rule::Drain),
-        (grow, How::FloodsCold, Rule::ColdBox),
-        ("", How::SendsAfterwards, Rule::SentAfterAnswer),
+    for (text, defect, rule) in [
+        (slow, Defect::RepeatsWrites, Rule::Doubled),
+        (drain, Defect::IgnoresDrains, Rule::Drain),
+        (grow, Defect::FloodsCold, Rule::ColdBox),
+        ("", Defect::SendsAfterwards, Rule::SentAfterAnswer),
     ] {
-        let s = broken(&scenario(text), how);
+        let s = broken(&scenario(text), defect);
         let rules: Vec<Rule> = s.breaches.iter().map(|b| b.rule).collect();
         assert_eq!(rules, [rule]);
         let breach = &s.breaches[0];
         assert!(breach.request.is_some() && breach.times > 0, "{breach:?}");
         assert!(breach.history.len() > 2, "{breach:?}");
-        // What ships breaks none of them there.
+        // The shipped balancer breaks no rule in the same scenario.
         assert!(play(&scenario(text), "shipped", 7).breaches.is_empty(), "{rule:?}");
     }
     let origin = "[origin]\nplaces = 1\nwork_ms = 50\nfall_multiple = 3.0\n[traffic]\nrate = 600\nkeys = 1000000\nzipf = 0.0";
@@ -162,13 +162,13 @@
 }
 
 #[test]
-fn each_fault_costs_what_it_should() {
+fn each_fault_has_its_expected_cost() {
     let faults = |text: &str| scenario(&format!("[traffic]\nrate = 400\n[[faults]]\nat_s = 4\n{text}"));
     let share = |text: &str, policy: &str| play(&faults(text), policy, 5).share();
     let silent = "lasts_s = 5\nkind = 'silent'\nboxes = 0.19";
     let (shipped, random) = (share(silent, "shipped"), share(silent, "random"));
     assert!(shipped > random + 0.01 && shipped > 0.95, "silent: {shipped} against {random}");
-    // A cut zone's proxies serve from its own boxes, others from theirs.
+    // Proxies on either side of the partition serve from the boxes on their side.
     let cut = share("lasts_s = 3\nkind = 'cut'\nzone = 1", "shipped");
     assert!(cut > 0.9, "cut: {cut}");
     let down = share("lasts_s = 3\nkind = 'down'\nboxes = [0, 1]", "shipped");
@@ -187,7 +187,7 @@
         let share = share(text, "shipped");
         assert!(share > least && play(&faults(text), "shipped", 5).attempts_each() > 1.01, "{text}: {share}");
     }
-    // A third of the proxies die: who asked there is not answered, who asks later goes elsewhere.
+    // A third of the proxies die: their open requests get no answer, later ones go to other proxies.
     let died = play(&faults("lasts_s = 2\nkind = 'die'\nproxies = [0]"), "shipped", 5);
     assert!(died.share() > 0.97 && died.breaches.is_empty(), "{died:?}");
     let rolled = play(&faults("lasts_s = 7\nkind = 'roll'\nboxes = 1.0"), "shipped", 5);
@@ -195,8 +195,8 @@
 }
 
 #[test]
-fn load_beyond_what_boxes_can_do_shows_and_a_curve_is_followed() {
-    // Twelve boxes of one core do 2,400 reads a second.
+fn load_above_capacity_lowers_the_served_share_and_the_rate_follows_its_curve() {
+    // Twelve boxes with one core each can serve 2,400 reads per second.
     let share = |rate: u32| {
         let s = scenario(&format!("[traffic]\nrate = {rate}\nwrites = 0.0"));
         play(&s, "shipped", 3).share()
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_scenario_with_ten_mistakes_is_told_all_ten() {
+fn all_ten_mistakes_in_a_scenario_are_reported() {
     let text = "version = 2\nname = 'a b'\nguards = 'x'\nduration_s = 'long'\nspeed = 3\n\
         [topology]\nboxes = 0\nzoness = 3\n[[kinds]]\nname = 'm'\ncores = 0\n\
         [traffic]\nwrites = 1.5\n[[faults]]\nat_s = 3\nkind = 'sulks'\n[[faults]]\nat_s = 1\nkind = 'cut'\nzone = 9\n";
@@ -238,22 +238,22 @@
 }
 
 #[test]
-fn discovery_that_is_short_of_calls_or_tells_two_versions_costs_no_rule() {
-    // One whole list a second for twelve proxies: those that wait serve from what they knew.
+fn rate_limited_discovery_or_two_list_versions_break_no_invariant() {
+    // One full list per second for twelve proxies: those that wait serve from their cached list.
     let drain = "[[faults]]\nat_s = 4\nkind = 'drain'\nboxes = [0, 1, 2]";
     let short = format!("[topology]\nproxies = 12\n[discovery]\ncalls_a_second = 1\n{drain}");
     let late = format!("[discovery]\nlag_ms = 300\nsecond_lag_ms = 4000\n{drain}");
-    // Retries have a budget: where a quarter of the boxes turns away unannounced, not all find another one.
+    // Retries have a budget: when a quarter of the boxes rejects without notice, not every request finds another box.
     for (text, least) in [(short, 0.9), (late, 0.9)] {
         let s = play(&scenario(&text), "shipped", 3);
         assert!(s.breaches.is_empty() && s.share() > least, "{}: {:?}", s.share(), s.breaches);
-        // Who is told late sends on to boxes that turn away by then.
+        // Proxies notified late still send to boxes that already reject requests.
         assert!(s.attempts_each() > 1.0, "{}", s.attempts_each());
     }
 }
 
 #[test]
-fn cold_candidates_fetch_no_more_than_their_budget_whatever_proxies_do() {
+fn cold_candidates_stay_within_their_fetch_budget_when_proxies_die_and_the_origin_stops() {
     let shadow = |candidates: usize, misses: u32| {
         scenario(&format!(
             "[topology]\nproxies = 20\n[traffic]\nrate = 600\nkeys = 20000\n[shadow]\ncandidates = {candidates}\n\
@@ -268,14 +268,14 @@
         assert_eq!((off.copies, off.copy_fetches, off.copy_fetches_peak), (0, 0, 0));
         assert!(on.copies > 200 && on.copy_fetches > 100, "seed {seed}: {} copies", on.copies);
         assert!(on.copy_fetches_peak <= 80, "seed {seed}: {} fetches in a second", on.copy_fetches_peak);
-        // The budget is what holds them.
+        // Without the budget they fetch more, so it is the budget that limits them.
         assert!(free.copy_fetches_peak > 160, "seed {seed}: {} without one", free.copy_fetches_peak);
         assert!([&off, &on, &free].iter().all(|s| s.breaches.is_empty()), "seed {seed}");
     }
 }
 
 #[test]
-fn what_boxes_send_too_much_goes_to_nobody_one_at_a_time_and_to_others_behind_one_another() {
+fn unsolicited_bytes_reach_no_request_at_depth_one_and_are_detected_when_pipelined() {
     let surplus = |topology: &str, late: u32, copy: bool| {
         let text = format!(
             "[topology]\nproxies = 24\n{topology}\n[traffic]\nrate = 1200\n[[faults]]\nat_s = 0\nkind = 'surplus'\n\
@@ -290,13 +290,13 @@
         let (strange, share) = surplus("", late, copy);
         assert!(strange == 0 && share > 0.95, "to {late} ms late, copies {copy}: {strange}, in time {share}");
     }
-    // The judge sees it where nothing guards against it.
+    // Without a settle delay or with pipelining, misdelivered answers are detected.
     assert!(surplus("rest_ms = 0.0", 4, true).0 > 0);
     assert!(surplus("depth = 8", 4, true).0 > 0);
 }
 
 #[test]
-fn where_seven_in_ten_of_300_start_within_a_second_discovery_is_asked_no_faster_than_it_can_tell() {
+fn invariants_hold_when_seven_in_ten_of_300_proxies_restart_at_once_and_discovery_is_rate_limited() {
     let text =
         "[topology]\nproxies = 300\nboxes = 60\n[discovery]\ncalls_a_second = 40\n[traffic]\nrate = 1500\n\
         [[faults]]\nat_s = 3\nlasts_s = 1.0\nkind = 'die'\nproxies = 0.7\n\
