--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use testkit::process::{free_port, Folder, Instance};
 use testkit::world::{
-    Asked, BoxConfig, End, Fault as BoxFault, Load, Mode, Plan, Script, Target, World, WorldConfig,
+    AttemptRecord, BoxConfig, End, Fault as BoxFault, Load, Mode, Plan, Script, Target, World, WorldConfig,
 };
 
 /// Time for a proxy to start and answer `PING`.
@@ -63,7 +63,7 @@
             let next = std::mem::take(&mut script);
             script = match lasts {
                 Some(lasts) => next.then(at, lasts, fault),
-                None => next.for_good(at, fault),
+                None => next.permanently(at, fault),
             };
         };
         match &f.fault {
@@ -273,10 +273,10 @@
 }
 
 /// Groups the tries of each request, and summarizes the requests.
-fn summarize(scenario: &Scenario, seed: u64, record: &[Asked], start: Duration) -> Summary {
-    let mut by_number: HashMap<&str, Vec<&Asked>> = HashMap::new();
-    for asked in record {
-        by_number.entry(&asked.id[..10]).or_default().push(asked);
+fn summarize(scenario: &Scenario, seed: u64, record: &[AttemptRecord], start: Duration) -> Summary {
+    let mut by_number: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
+    for attempt in record {
+        by_number.entry(&attempt.id[..10]).or_default().push(attempt);
     }
     let mut gathered = Gathered::new(scenario, "shipped", seed, "sockets");
     for tries in by_number.into_values() {
