--- a/crates/lab/benches/load.rs
+++ b/crates/lab/benches/load.rs
@@ -1,5 +1,5 @@
-//! What the load tool itself costs: as much as one of its threads puts on, and how late it is at 50,000 a second, against
-//! a stand-in that answers at once. Takes half a minute:
+//! Measures the load generator itself against a scripted server that answers at once: the maximum rate of one thread, and
+//! the generator's own lag at 50,000 requests per second. Takes half a minute:
 //!
 //! ```sh
 //! cargo bench -p trestlelab --bench load
@@ -10,7 +10,7 @@
 use trestlelab::load::{run, Args};
 
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(flatten)]
     args: Args,
 }
@@ -24,7 +24,7 @@
     ] {
         for _ in 0..3 {
             let line = format!("load {at} --seconds 3 --class pack-lookup:480:1 {rest}");
-            let args = Line::parse_from(line.split_whitespace()).args;
+            let args = CommandLine::parse_from(line.split_whitespace()).args;
             match run(&args) {
                 Ok((o, _)) => println!(
                     "{what}: {:.0} a second, lost {}, wrong {}, late by itself {:.3} ms (99%), p50 {:.3}, p99 {:.3} ms, fell behind {}",
--- a/crates/lab/benches/pipeline.rs
+++ b/crates/lab/benches/pipeline.rs
@@ -1,12 +1,12 @@
-//! What pipelining does to the slowest answers: real proxies before stand-ins, one command at a time on a connection, the
-//! fixed choice of connections and the one by expected time; on a calm day, at what the boxes can just do, under a load
-//! that grows past that, and with 19% of the boxes silent. Paired by seed. Takes about eight minutes:
+//! Measures the effect of pipelining on tail latency, with real proxies and simulated boxes. Compares one command at a time
+//! per connection, the fixed choice of connections, and the choice by expected time: on a calm day, at the capacity of the
+//! boxes, under a load that grows past it, and with 19% of the boxes silent. Paired by seed. Takes about eight minutes:
 //!
 //! ```sh
 //! cargo build --release && cargo bench -p trestlelab --bench pipeline [-- FOLDER [DAY]]
 //! ```
 //!
-//! Times count from when a request was meant to start. With FOLDER the logs of times are kept there.
+//! Latency counts from the intended start of a request. With FOLDER, the latency logs are written there.
 
 use clap::Parser;
 use serde_json::json;
@@ -18,22 +18,24 @@
 
 const BOXES: usize = 16;
 const PROXIES: usize = 4;
-/// Proxies are told of so many, which leaves each of them two connections to a box.
-const TOLD: usize = 12;
+/// The number of proxies in the settings; it limits each proxy to two connections per box.
+const CONFIGURED_PROXIES: usize = 12;
 const SECONDS: f64 = 5.0;
-/// Boxes that fall silent after a second.
+/// Boxes that stop answering after one second.
 const SILENT: [usize; 3] = [1, 6, 11];
 
-/// Behind one another: up to what the stand-ins' settings allow. It has to be said, or all ways are the first.
-const WAYS: [(&str, &str); 4] = [
+/// Names and `[pipeline]` settings of the variants. The depth, up to the maximum in the settings of the simulated boxes, is
+/// set explicitly: without it every variant would behave as the first.
+const VARIANTS: [(&str, &str); 4] = [
     ("one at a time", "enabled = false"),
     ("fixed", "reads = 8\nwrites = 8"),
     ("expected", "reads = 8\nwrites = 8\nplacing = \"expected\""),
     ("expected, heads", "reads = 8\nwrites = 8\nplacing = \"expected\"\nhead_quantile = 0.99"),
 ];
+
 struct Day {
     name: &'static str,
-    /// Requests a second, one load after another.
+    /// Rates of consecutive loads, in requests per second.
     rates: &'static [f64],
     silent: bool,
 }
@@ -45,8 +47,8 @@
     Day { name: "silent", rates: &[800.0], silent: true },
 ];
 
-/// Attempts that the silent boxes swallowed: in the first 50 ms since the first of them, to 150 ms, to 500 ms, later.
-fn swallowed(world: &World) -> [usize; 4] {
+/// Attempts that the silent boxes left unanswered, by time since the first one: below 50 ms, 150 ms, 500 ms, and later.
+fn unanswered(world: &World) -> [usize; 4] {
     let mut at: Vec<Duration> = Vec::new();
     for b in SILENT {
         at.extend(world.boxes[b].record().iter().filter(|s| s.answer.is_none()).map(|s| s.at));
@@ -60,20 +62,20 @@
 }
 
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(flatten)]
     args: Args,
 }
 
-fn play(day: &Day, way: (&str, &str), seed: u64, kept: Option<&PathBuf>) {
+fn measure(day: &Day, variant: (&str, &str), seed: u64, log_folder: Option<&PathBuf>) {
     let world = World::start(WorldConfig::new(seed, BOXES, PROXIES));
     let folder = Folder::new("pipeline").expect("a folder");
     let program = testkit::program("trestlesill");
-    let operator = format!("version = 1\n[pipeline]\n{}\n", way.1);
+    let operator = format!("version = 1\n[pipeline]\n{}\n", variant.1);
     let mut proxies: Vec<Instance> = (0..PROXIES)
         .map(|i| {
             let mut config = world.proxy_config(i, free_port().expect("a port"));
-            config["settings"]["n_instances"] = json!(TOLD);
+            config["settings"]["n_instances"] = json!(CONFIGURED_PROXIES);
             Instance::start(&program, &folder.0, &config, Some(&operator)).expect("started")
         })
         .collect();
@@ -91,11 +93,11 @@
             at.join(" "),
         );
         let day = if day.rates.len() > 1 { format!("{}-{rate}", day.name) } else { day.name.to_owned() };
-        if let Some(kept) = kept {
-            let name = format!("{day}-{}-{seed}.hlog", way.0.replace([',', ' '], "-"));
-            line += &format!(" --hdr {}", kept.join(name).display());
+        if let Some(folder) = log_folder {
+            let name = format!("{day}-{}-{seed}.hlog", variant.0.replace([',', ' '], "-"));
+            line += &format!(" --hdr {}", folder.join(name).display());
         }
-        let args = Line::parse_from(line.split(' ')).args;
+        let args = CommandLine::parse_from(line.split(' ')).args;
         let (outcome, times) = run(&args).expect("a load");
         keep(&args, &times).expect("a log");
         let now = Totals::of(&world, &proxies);
@@ -103,7 +105,7 @@
         println!(
             "{day:10} {:16} seed {seed}: p50 {:6.1} p99 {:6.1} p99.9 {:6.1} worst {:6.1} ms; served {:.4} refused {:.4}; a \
              request: {:.3} attempts, {:.4} connections, {:.0} us; late by itself {:.1} ms{}",
-            way.0,
+            variant.0,
             outcome.p50_ms,
             outcome.p99_ms,
             outcome.p999_ms,
@@ -112,24 +114,24 @@
             outcome.refused as f64 / sent,
             (now.attempts - before.attempts) as f64 / sent,
             (now.opened - before.opened) as f64 / sent,
-            (now.used - before.used) / sent * 1e6,
+            (now.cpu_seconds - before.cpu_seconds) / sent * 1e6,
             outcome.own_lag_p99_ms,
             if outcome.fell_behind { ", VOID" } else { "" },
         );
         before = now;
     }
     if day.silent {
-        println!("{:10} swallowed in the first 50 ms, to 150, to 500, later: {:?}", "", swallowed(&world));
+        println!("{:10} swallowed in the first 50 ms, to 150, to 500, later: {:?}", "", unanswered(&world));
     }
 }
 
-/// What boxes and proxies have counted so far.
+/// Totals of the boxes and proxies so far.
 #[derive(Default)]
 struct Totals {
     attempts: usize,
     opened: usize,
-    /// Seconds of a processor.
-    used: f64,
+    /// CPU time of the proxies, in seconds.
+    cpu_seconds: f64,
 }
 
 impl Totals {
@@ -137,7 +139,7 @@
         Totals {
             attempts: world.boxes.iter().map(|b| b.record().len()).sum(),
             opened: world.boxes.iter().map(|b| b.opened()).sum(),
-            used: proxies.iter().map(|p| cpu(p.child.id()) / 100.0).sum(),
+            cpu_seconds: proxies.iter().map(|p| cpu(p.child.id()) / 100.0).sum(),
         }
     }
 }
@@ -147,7 +149,7 @@
     let (folder, only) = (words.next().map(PathBuf::from), words.next());
     for day in DAYS.iter().filter(|d| only.as_ref().is_none_or(|o| o == d.name)) {
         for seed in [101, 102, 103] {
-            WAYS.into_iter().for_each(|way| play(day, way, seed, folder.as_ref()));
+            VARIANTS.into_iter().for_each(|variant| measure(day, variant, seed, folder.as_ref()));
         }
     }
 }
--- a/crates/lab/benches/shadow.rs
+++ b/crates/lab/benches/shadow.rs
@@ -1,12 +1,12 @@
-//! What copying reads to candidates costs: four real proxies before sixteen stand-ins and two candidates, copying off, off
-//! once more (the noise), and on; on a calm day and with 19% of the boxes silent. Paired by seed. Takes about two and a half
-//! minutes:
+//! Measures the cost of copying reads to candidates: four real proxies, sixteen simulated boxes and two candidates, with
+//! copying off, off again (to show the noise), and on; on a calm day and with 19% of the boxes silent. Paired by seed. Takes
+//! about two and a half minutes:
 //!
 //! ```sh
 //! cargo build --release && cargo bench -p trestlelab --bench shadow [-- FOLDER]
 //! ```
 //!
-//! Times count from when a request was meant to start. With FOLDER the logs of times are kept there.
+//! Latency counts from the intended start of a request. With FOLDER, the latency logs are written there.
 
 use clap::Parser;
 use serde_json::{json, Value};
@@ -22,11 +22,11 @@
 const PROXIES: usize = 4;
 const RATE: f64 = 800.0;
 const SECONDS: f64 = 5.0;
-/// Boxes that fall silent after a second.
+/// Boxes that stop answering after one second.
 const SILENT: [usize; 3] = [1, 6, 11];
 
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(flatten)]
     args: Args,
 }
@@ -41,7 +41,7 @@
     (text, socket)
 }
 
-fn play(day: &str, what: &str, on: bool, seed: u64, kept: Option<&PathBuf>) {
+fn measure(day: &str, what: &str, on: bool, seed: u64, log_folder: Option<&PathBuf>) {
     let mut config = WorldConfig::new(seed, BOXES + CANDIDATES, PROXIES);
     config.unlisted = CANDIDATES;
     let world = World::start(config);
@@ -65,34 +65,34 @@
             c.ok(json!({"op": "shadow-start", "generation": 1, "lease_ms": 60_000}));
         }
     }
-    // What a process before this one had sent would be over by then.
+    // Wait until copies that an earlier process could have sent would have ended.
     std::thread::sleep(Duration::from_millis(1_600));
     if day == "silent" {
         let silent = SILENT.into_iter();
         world
             .play(silent.fold(Script::new(), |s, b| s.permanently(Duration::from_secs(1), Fault::Silent(b))));
     }
-    let used = || proxies.iter().map(|p| cpu(p.child.id()) / 100.0).sum::<f64>();
-    let before = used();
+    let cpu_seconds = || proxies.iter().map(|p| cpu(p.child.id()) / 100.0).sum::<f64>();
+    let before = cpu_seconds();
     let addresses: Vec<String> = proxies.iter().map(|p| p.address.to_string()).collect();
     let mut line = format!(
         "load {} --rate {RATE} --seconds {SECONDS} --seed {seed} --connections 64 --pipeline 4 --keys 2000",
         addresses.join(" ")
     );
-    if let Some(kept) = kept {
-        line += &format!(" --hdr {}", kept.join(format!("{day}-{what}-{seed}.hlog")).display());
+    if let Some(folder) = log_folder {
+        line += &format!(" --hdr {}", folder.join(format!("{day}-{what}-{seed}.hlog")).display());
     }
-    let args = Line::parse_from(line.split(' ')).args;
+    let args = CommandLine::parse_from(line.split(' ')).args;
     let (outcome, times) = run(&args).expect("a load");
     keep(&args, &times).expect("a log");
     let sent = outcome.sent.max(1) as f64;
-    let used = used() - before;
+    let cpu_seconds = cpu_seconds() - before;
     let opened: usize = live.iter().map(|b| b.opened()).sum();
     let attempts: usize = live.iter().map(|b| b.record().len()).sum();
     let copies: usize = candidates.iter().map(|b| b.record().len()).sum();
-    let told: Vec<Value> = controllers.iter_mut().map(|c| c.ok(json!({"op": "shadow-status"}))).collect();
+    let statuses: Vec<Value> = controllers.iter_mut().map(|c| c.ok(json!({"op": "shadow-status"}))).collect();
     let sum =
-        |path: [&str; 3]| told.iter().filter_map(|t| t[path[0]][path[1]][path[2]].as_u64()).sum::<u64>();
+        |path: [&str; 3]| statuses.iter().filter_map(|t| t[path[0]][path[1]][path[2]].as_u64()).sum::<u64>();
     println!(
         "{day:6} {what:5} seed {seed}: served {:.4} refused {:.4}; p50 {:5.1} p99 {:5.1} p99.9 {:5.1} worst {:5.1} ms; a \
          request: {:.3} attempts, {:.4} connections, {:.1} us; {copies} copies, {} equal, {} different; late by itself \
@@ -105,7 +105,7 @@
         outcome.max_ms,
         attempts as f64 / sent,
         opened as f64 / sent,
-        used / sent * 1e6,
+        cpu_seconds / sent * 1e6,
         sum(["report", "tally", "equal"]),
         ["stale", "wrong", "passing", "missing", "surplus"].map(|d| sum(["report", "tally", d])).iter().sum::<u64>(),
         outcome.own_lag_p99_ms,
@@ -118,7 +118,7 @@
     for day in ["calm", "silent"] {
         for seed in [201, 202, 203, 204] {
             for (what, on) in [("off", false), ("again", false), ("on", true)] {
-                play(day, what, on, seed, folder.as_ref());
+                measure(day, what, on, seed, folder.as_ref());
             }
         }
     }
