--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool as it is called: scenarios, sweeps that are stopped, comparisons, reports.
+//! The command line: scenarios, interrupted sweeps, comparisons, reports and campaigns.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -25,14 +25,14 @@
     [traffic]\nrate = 300\n[[faults]]\nat_s = 2\nlasts_s = 2\nkind = 'silent'\nboxes = 0.2\n";
 
 #[test]
-fn every_scenario_that_ships_is_sound_and_what_it_wants_holds() {
+fn every_built_in_scenario_is_valid_and_meets_its_goals() {
     let listed = text(&lab(&["scenarios"]).stdout);
     let names: Vec<&str> = listed.lines().filter_map(|l| l.split(' ').next()).collect();
     assert!(names.len() >= 10);
     std::thread::scope(|s| {
         for name in names {
             s.spawn(move || {
-                // A fleet of hundreds is played in small here.
+                // Scenarios with hundreds of boxes run here at a smaller size.
                 let small: &[&str] = if name.starts_with("mass-") { &["--boxes", "20"] } else { &[] };
                 let run = lab(&[&["run", name, "--seed", "3"], small].concat());
                 assert_eq!(run.status.code(), Some(0), "{name}: {}{}", text(&run.stdout), text(&run.stderr));
@@ -43,21 +43,21 @@
 }
 
 #[test]
-fn a_goal_that_is_missed_and_input_that_is_wrong_have_their_exit_codes() {
+fn a_missed_goal_exits_with_1_and_invalid_input_with_2() {
     let folder = Folder::new("lab").expect("a folder");
     let missed = write(&folder, "missed.toml", &format!("holds = {{ p99_ms = 1.0 }}\n{SHORT}"));
     let run = lab(&["run", &missed]);
     assert_eq!((run.status.code(), text(&run.stderr).contains("p99_ms is")), (Some(1), true));
     let wrong = write(&folder, "wrong.toml", "version = 1\nname = ''\nrate = 3\n[traffic]\nwrites = 7\n");
     let run = lab(&["check", &wrong]);
-    let told = text(&run.stderr);
-    assert_eq!((run.status.code(), told.lines().count()), (Some(2), 4), "{told}");
+    let printed = text(&run.stderr);
+    assert_eq!((run.status.code(), printed.lines().count()), (Some(2), 4), "{printed}");
     assert_eq!(lab(&["run", "no-such-day"]).status.code(), Some(2));
     assert_eq!(lab(&["run", "calm-day", "--policy", "best"]).status.code(), Some(2));
-    // What stand-ins can't play is said before anything is started.
+    // A scenario that can't be run over sockets is rejected before any process is started.
     let run = lab(&["run", "cold-growth", "--in", "sockets"]);
     assert_eq!(run.status.code(), Some(2));
-    assert!(text(&run.stderr).contains("grow is played in the model alone"), "{}", text(&run.stderr));
+    assert!(text(&run.stderr).contains("grow is available in the model only"), "{}", text(&run.stderr));
 }
 
 fn sweep(folder: &Folder, out: &str, rest: &str) -> Output {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_sweep_that_was_stopped_goes_on_and_gives_the_same_table() {
+fn an_interrupted_sweep_resumes_and_prints_the_same_table() {
     let folder = Folder::new("lab").expect("a folder");
     write(&folder, "short.toml", SHORT);
     let vary = "[vary]\n'topology.boxes' = [9, 12]";
@@ -76,7 +76,7 @@
     assert_eq!(whole.status.code(), Some(0), "{}", text(&whole.stderr));
     let lines = std::fs::read_to_string(folder.0.join("whole/results.jsonl")).expect("results");
     assert_eq!(lines.lines().count(), 16);
-    // A process that is killed in the middle of a line leaves a part of it.
+    // A process that is killed in the middle of a write leaves an incomplete last line.
     std::fs::create_dir(folder.0.join("torn")).expect("made");
     let cut: String = lines.lines().take(5).map(|l| format!("{l}\n")).collect::<String>() + &lines[..700];
     std::fs::write(folder.0.join("torn/results.jsonl"), cut).expect("written");
@@ -89,20 +89,23 @@
         all
     };
     assert_eq!(sorted(&again), sorted(&lines));
-    // A line in the middle that is no result is an error, not a gap.
-    let spoilt = lines.replacen("\"schema\":1", "\"schema\":9", 1);
-    std::fs::write(folder.0.join("torn/results.jsonl"), spoilt).expect("written");
+    // An invalid line in the middle of the file is an error and is not skipped.
+    let other_schema = lines.replacen("\"schema\":1", "\"schema\":9", 1);
+    std::fs::write(folder.0.join("torn/results.jsonl"), other_schema).expect("written");
     assert_eq!(sweep(&folder, "torn", vary).status.code(), Some(2));
-    // A value out of bounds is told before any run is played.
+    // A value out of bounds is reported before any run starts.
     let bad = sweep(&folder, "bad", "[vary]\n'topology.boxes' = [9, 0]\n'traffic.writes' = [2.0]");
-    let told = text(&bad.stderr);
+    let printed = text(&bad.stderr);
     assert_eq!(bad.status.code(), Some(2));
-    assert!(told.contains("topology.boxes: is 0") && told.contains("traffic.writes: is 2"), "{told}");
+    assert!(
+        printed.contains("topology.boxes: is 0") && printed.contains("traffic.writes: is 2"),
+        "{printed}"
+    );
     assert!(!Path::new(&path(&folder, "bad")).exists());
 }
 
 #[test]
-fn two_policies_are_told_apart_only_where_they_differ_and_a_page_is_made() {
+fn compare_shows_only_real_differences_and_report_writes_a_page() {
     let folder = Folder::new("lab").expect("a folder");
     write(&folder, "short.toml", SHORT);
     assert!(sweep(&folder, "out", "").status.success());
@@ -121,7 +124,7 @@
     assert!(std::fs::metadata(folder.0.join("out/plot-000-1.png")).is_ok_and(|m| m.len() > 1_000));
 }
 
-/// A bench of this test's own: it leaves an entry in the journal of the folder that it is called in, and names it.
+/// A fake bench, which writes an entry to the journal of its working directory and prints the entry's name.
 const BENCH: &str = r#"#!/bin/sh
 echo "$@" >> calls
 id="$3-$5-$(wc -l < calls | tr -d ' ')"
@@ -136,7 +139,7 @@
 "#;
 
 #[test]
-fn a_campaign_plays_each_day_once_on_both_sides_and_tells_a_broken_rule() {
+fn a_campaign_runs_each_day_once_per_side_and_reports_a_broken_rule() {
     use std::os::unix::fs::PermissionsExt;
     let folder = Folder::new("lab").expect("a folder");
     let bench = write(&folder, "bench", BENCH);
@@ -156,15 +159,15 @@
     };
     let there = sides[1].to_str().expect("a path");
     let first = campaign(&["--seeds", "7,8", "--against", there]);
-    let told = text(&first.stdout);
-    assert_eq!(first.status.code(), Some(0), "{told}{}", text(&first.stderr));
+    let printed = text(&first.stdout);
+    assert_eq!(first.status.code(), Some(0), "{printed}{}", text(&first.stderr));
     assert!(
-        told.lines().count() == 2 + 8
-            && told.contains("| served 2.8 times |")
-            && told.contains("origin 0.040"),
-        "{told}"
+        printed.lines().count() == 2 + 8
+            && printed.contains("| served 2.8 times |")
+            && printed.contains("origin 0.040"),
+        "{printed}"
     );
-    // What is there is not played again; a rule that broke is told, by the exit code too.
+    // Recorded plays are not repeated; a broken rule shows in the table and in the exit code.
     let calls =
         |side: usize| std::fs::read_to_string(sides[side].join("calls")).expect("calls").lines().count();
     assert_eq!((calls(0), calls(1)), (4, 4));
