--- a/crates/proxy/tests/shadow.rs
+++ b/crates/proxy/tests/shadow.rs
@@ -469,7 +469,7 @@
         assert_eq!(client.command()[0].len(), 100 << 10);
     }
     let status_reply = wait_for_status(&mut controller, |t| t["status"]["counts"]["reads"] == 5);
-    let long = shadow::SKIP_REASONS.iter().position(|(_, word)| *word == "long").expect("a cause");
+    let long = shadow::SKIP_REASONS.iter().position(|(_, word)| *word == "long").expect("a skip reason");
     assert_eq!(status_reply["status"]["counts"]["dropped"][long], 5, "{status_reply}");
     assert!(recorded.lock().expect("a lock").is_empty());
 }
