--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -162,12 +162,13 @@
     pub fn pipes(&self) -> PipelineConfig {
         let (placing, head_quantile) = (self.placing, self.head_quantile);
         let depth = self.depth.min(self.streams);
-        let rest = if depth > 1 { SettleDelay::NONE } else { SettleDelay::new(Some(millis(self.rest_ms))) };
+        let settle_delay =
+            if depth > 1 { SettleDelay::NONE } else { SettleDelay::new(Some(millis(self.rest_ms))) };
         PipelineConfig {
             placement: placing,
             max_depth: [depth; 2],
             head_quantile,
-            settle_delay: rest,
+            settle_delay,
             ..PipelineConfig::default()
         }
     }
