--- a/crates/shadow/src/budget.rs
+++ b/crates/shadow/src/budget.rs
@@ -1,4 +1,5 @@
-//! Budgets of copying. Each limit holds in every window of one second, at any offset and also if the clock goes backwards.
+//! Budgets of copying. Each limit holds in every window of one second, at any offset and also if the clock goes
+//! backwards.
 
 use crate::{Nanos, SECOND};
 use std::cmp::Reverse;
@@ -11,8 +12,8 @@
     within.max().unwrap_or(0)
 }
 
-/// Limits events in any window of one second. The times of the last events are kept, so there is no burst at the edge of
-/// a fixed window.
+/// Limits events in any window of one second. The times of the last events are kept, so there is no burst at the edge
+/// of a fixed window.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     limit: usize,
@@ -41,8 +42,8 @@
 
 /// The share of one proxy in a budget of all proxies.
 ///
-/// Only half of the budget is divided. Proxies do not communicate, and one with a wrong count may believe that it is alone:
-/// it then takes that half, the others together have at most the other half, and the budget still holds.
+/// Only half of the budget is divided. Proxies do not communicate, and one with a wrong count may believe that it is
+/// alone: it then takes that half, the others together have at most the other half, and the budget still holds.
 pub fn proxy_share(budget: u32, proxies: u32, index: u32) -> u32 {
     let (half, proxies) = (budget / 2, proxies.max(1));
     half / proxies + u32::from(index < half % proxies)
@@ -50,9 +51,9 @@
 
 /// Limits the misses that copies cause at candidates in any second, because each miss costs a read from the origin.
 ///
-/// A copy takes a slot when it is sent. Only an answer that reports a hit frees the slot at once. Otherwise the fetch may
-/// have begun at any time until the answer or the deadline of the copy, and the slot stays taken for one second after
-/// that. So all fetches of any one second held their slots at the same moment, and there are only `limit` slots.
+/// A copy takes a slot when it is sent. Only an answer that reports a hit frees the slot at once. Otherwise the fetch
+/// may have begun at any time until the answer or the deadline of the copy, and the slot stays taken for one second
+/// after that. So all fetches of any one second held their slots at the same moment, and there are only `limit` slots.
 #[derive(Clone, Debug)]
 pub struct MissBudget {
     limit: usize,
@@ -208,7 +209,7 @@
             wrong in 0_u32..300,
             wrong_count in 1_u32..300,
         ) {
-            let own = |i| if i == wrong { proxy_share(budget, wrong_count, i) } else { proxy_share(budget, proxies, i) };
+            let own = |i| proxy_share(budget, if i == wrong { wrong_count } else { proxies }, i);
             let all: u32 = (0..proxies).map(own).sum();
             prop_assert!(all <= budget);
             let right: u32 = (0..proxies).map(|i| proxy_share(budget, proxies, i)).sum();
--- a/crates/shadow/src/compare.rs
+++ b/crates/shadow/src/compare.rs
@@ -180,8 +180,8 @@
         self.pending.contains_key(&key_hash)
     }
 
-    /// Records the outcomes of a copy and returns its difference, if one is confirmed. `raced` says that the record may have
-    /// changed while the copy was open.
+    /// Records the outcomes of a copy and returns its difference, if one is confirmed. `raced` says that the record may
+    /// have changed while the copy was open.
     pub fn record_copy(
         &mut self,
         key_hash: u64,
--- a/crates/shadow/src/lib.rs
+++ b/crates/shadow/src/lib.rs
@@ -1,8 +1,8 @@
-//! Shadow traffic: a sample of the reads that live boxes have served is mirrored to candidates, which are boxes that are
-//! not in service yet, and the answers are compared. This crate is a state machine without clock, sockets or files.
+//! Shadow traffic: a sample of the reads that live boxes have served is mirrored to candidates, which are boxes that
+//! are not in service yet, and the answers are compared. This crate is a state machine without clock, sockets or files.
 //!
-//! [`Shadow`] is offered each served read and decides whether it is copied, to which candidate and with which deadline. It
-//! only observes: it cannot reject, delay or change the answer to a client. Its parts are the sampling of keys
+//! [`Shadow`] is offered each served read and decides whether it is copied, to which candidate and with which deadline.
+//! It only observes: it cannot reject, delay or change the answer to a client. Its parts are the sampling of keys
 //! ([`sample`]), the budgets ([`budget`]), the ramp-up and the automatic stop ([`ramp`]), the comparison of answers
 //! ([`compare`]) and the verdict ([`verdict`]).
 
--- a/crates/shadow/src/machine.rs
+++ b/crates/shadow/src/machine.rs
@@ -468,7 +468,8 @@
         self.open.values_mut().filter(|open| open.key_hash == key_hash).for_each(|open| open.raced = true);
     }
 
-    /// Records that a client's write to this key has arrived or been answered: open copies of the key cannot be compared.
+    /// Records that a client's write to this key has arrived or been answered: open copies of the key cannot be
+    /// compared.
     pub fn note_write(&mut self, key: u64) {
         if !self.open.is_empty() {
             self.mark_raced(sampling_hash(self.settings.salt, key));
--- a/crates/shadow/src/ramp.rs
+++ b/crates/shadow/src/ramp.rs
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Records the end of a copy: whether the candidate `answered` at all, and whether the copy `failed`. Returns the reason if
-    /// copying must stop.
+    /// Records the end of a copy: whether the candidate `answered` at all, and whether the copy `failed`. Returns the
+    /// reason if copying must stop.
     pub fn record_copy(&mut self, answered: bool, failed: bool, now: Nanos) -> Option<Stop> {
         self.unanswered_in_a_row = if answered { 0 } else { self.unanswered_in_a_row + 1 };
         self.successes += u32::from(!failed);
--- a/crates/shadow/src/sample.rs
+++ b/crates/shadow/src/sample.rs
@@ -1,5 +1,5 @@
-//! Sampling: which reads are copied, and to which candidate. Both depend on the key alone, so all proxies send a candidate
-//! the same part of the keys, and its cache warms up as that of a live box would.
+//! Sampling: which reads are copied, and to which candidate. Both depend on the key alone, so all proxies send a
+//! candidate the same part of the keys, and its cache warms up as that of a live box would.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
--- a/crates/shadow/src/verdict.rs
+++ b/crates/shadow/src/verdict.rs
@@ -110,8 +110,8 @@
     Interval { low, high }
 }
 
-/// A quantile in milliseconds with a confidence interval by binomial ranks (Conover, 1999). `None` with too few values for
-/// both bounds.
+/// A quantile in milliseconds with a confidence interval by binomial ranks (Conover, 1999). `None` with too few values
+/// for both bounds.
 fn quantile(h: &Histogram<u32>, fraction: f64) -> Option<(f64, Interval)> {
     let n = h.len() as f64;
     let spread = Z_97_5 * (n * fraction * (1.0 - fraction)).sqrt();
@@ -271,8 +271,8 @@
         30e6 * (0.25 * normal).exp()
     }
 
-    /// The report on a number of copies: a share `wrong` of the answers is wrong, and the candidate's slowest latencies are
-    /// multiplied by `tail`.
+    /// The report on a number of copies: a share `wrong` of the answers is wrong, and the candidate's slowest latencies
+    /// are multiplied by `tail`.
     fn report_of(seed: u64, copies: u64, wrong: f64, tail: f64) -> Report {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut tally, mut times) = (Tally::default(), LatencyHistograms::default());
--- a/crates/shadow/tests/machine.rs
+++ b/crates/shadow/tests/machine.rs
@@ -286,7 +286,16 @@
         open in 1_usize..12,
         misses in 2_u32..30,
     ) {
-        let narrow = Settings { copies_per_second: copies, max_open_copies: open, misses_per_second: misses, max_value_bytes: 1_000, max_held_bytes: 7_500, max_cpu_share: 0.1, stop_difference_rate: 1.0, ..settings() };
+        let narrow = Settings {
+            copies_per_second: copies,
+            max_open_copies: open,
+            misses_per_second: misses,
+            max_value_bytes: 1_000,
+            max_held_bytes: 7_500,
+            max_cpu_share: 0.1,
+            stop_difference_rate: 1.0,
+            ..settings()
+        };
         let (mut shadow, mut now) = started(narrow, &[1, 2]);
         let (mut out, mut sent, mut fetched) = (BTreeMap::new(), Vec::new(), Vec::new());
         let mut cpu_times: Vec<(Nanos, Nanos)> = Vec::new();
@@ -295,7 +304,8 @@
             let up: Vec<u64> = out.iter().filter(|(_, until)| **until <= now).map(|(n, _)| *n).collect();
             for number in up {
                 let until = out.remove(&number).expect("open");
-                shadow.copy_ended(number, CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: DEADLINE }, now);
+                let timed_out = CopyResult { outcome: ReadOutcome::TimedOut, hit: None, latency: DEADLINE };
+                shadow.copy_ended(number, timed_out, now);
                 fetched.push(until);
             }
             match step {
@@ -354,8 +364,8 @@
     }
 }
 
-/// Simulates proxies that copy to a cold candidate, with reads of a skewed key distribution every 20 ms. Returns the times
-/// at which the candidate's fetches arrive at the origin.
+/// Simulates proxies that copy to a cold candidate, with reads of a skewed key distribution every 20 ms. Returns the
+/// times at which the candidate's fetches arrive at the origin.
 fn fetches_of_cold_candidate(proxies: u32, misses: u32, wrong: Option<u32>, restarting: bool) -> Vec<Nanos> {
     let make = |i: u32, now: Nanos| {
         let (proxy_count, proxy_index) = if Some(i) == wrong { (1, 0) } else { (proxies, i) };
